--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -19,7 +19,7 @@
     ReadRequest,
     RouteClass,
     choose_member,
-    effective_class,
+    resolve_read_class,
 )
 from radishtrack.routing.statement import Kind, Statement, make_classifier
 from radishtrack.session.position import Position, TermStart
@@ -100,7 +100,7 @@
         if statement.kind is not Kind.READ:
             return statement
         group, statuses = groups[database]
-        effective = effective_class(options, route, True, False)
+        effective = resolve_read_class(options, route, True, False)
         ages_ms = dict.fromkeys(statuses, 10.0)
         return choose_member(ReadRequest(effective, group, statuses, position, ages_ms))
 
--- a/examples/embed_routing.py
+++ b/examples/embed_routing.py
@@ -15,7 +15,7 @@
     ReadRequest,
     RouteClass,
     choose_member,
-    effective_class,
+    resolve_read_class,
 )
 from radishtrack.routing.statement import make_classifier
 from radishtrack.session.position import Position, TermStart
@@ -44,7 +44,7 @@
 def read_class_of(sql: str, *, has_position: bool) -> EffectiveClass:
     """Return the class of a statement with its options."""
     options, _ = split_options(sql)
-    return effective_class(options, ROUTE, has_position, in_transaction=False)
+    return resolve_read_class(options, ROUTE, has_position, in_transaction=False)
 
 
 def describe_reads() -> Iterator[str]:
--- a/src/radishtrack/backend/read.py
+++ b/src/radishtrack/backend/read.py
@@ -39,7 +39,7 @@
     StrictRound,
     WaitForPosition,
     choose_member,
-    prefer_member,
+    select_preferred_member,
 )
 from radishtrack.session.position import Position
 
@@ -212,7 +212,7 @@
                 and status.position.sequence >= position.sequence
             )
     usable = (member for member in candidates if member not in inputs.leaving)
-    member = prefer_member(usable, inputs)
+    member = select_preferred_member(usable, inputs)
     if member is None:
         return Target(group.primary, Role.PRIMARY, position)
     return Target(member, Role.REPLICA, position)
--- a/src/radishtrack/keys/contact.py
+++ b/src/radishtrack/keys/contact.py
@@ -33,11 +33,11 @@
     decision: Freshness = attrs.field(factory=lambda: Refuse(NOT_REACHED))
     decided_ms: float = -math.inf
 
-    def note_platform(self, contact_ms: float) -> None:
+    def record_platform_contact(self, contact_ms: float) -> None:
         """Record an answer of the platform; an older one changes nothing."""
         self.platform_ms = max(self.platform_ms, contact_ms)
 
-    def note_peer(
+    def record_peer_contact(
         self,
         peer: str,
         asked_ms: float,
@@ -83,7 +83,7 @@
             name: contact for name, contact in self.peers.items() if name in peers
         }
 
-    def is_cut_off(self, now_ms: float, limit_ms: float) -> bool:
+    def is_platform_unreachable(self, now_ms: float, limit_ms: float) -> bool:
         """Tell whether the platform has not answered this node for `limit_ms`."""
         return now_ms - self.platform_ms > limit_ms
 
--- a/src/radishtrack/keys/freshness.py
+++ b/src/radishtrack/keys/freshness.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-CUT_OFF_AFTER_MS: Final = 7_500.0
+PLATFORM_UNREACHABLE_AFTER_MS: Final = 7_500.0
 """A node without contact for so long counts as cut off from the platform; a watch
 that ends without a change takes 5 s, and a call that fails 2 s more."""
 
@@ -92,7 +92,7 @@
         cannot be told from being cut off, so the node refuses after 30 s.
     """
     contacts = tuple(peer_contacts)
-    if now_ms - platform_contact <= CUT_OFF_AFTER_MS:
+    if now_ms - platform_contact <= PLATFORM_UNREACHABLE_AFTER_MS:
         return Serve(platform_contact)
     copy_ms = max((contact.copy_date_ms for contact in contacts), default=-math.inf)
     if copy_ms > platform_contact and now_ms - copy_ms <= SILENCE_LIMIT_MS:
--- a/src/radishtrack/proxy/copies.py
+++ b/src/radishtrack/proxy/copies.py
@@ -138,7 +138,7 @@
             )
             interval_ms = max(ASK_INTERVAL_MS, INTERVAL_PER_PEER_MS * len(others))
             is_due = now_ms - self.asked_ms >= interval_ms
-            if is_due and self.contacts.is_cut_off(now_ms, CUT_OFF_MS):
+            if is_due and self.contacts.is_platform_unreachable(now_ms, CUT_OFF_MS):
                 self.asked_ms = now_ms
                 await asyncio.gather(
                     *(self._ask(name) for name in others),
@@ -193,7 +193,7 @@
             return
         for revoked in apply_copy(self.keyring, copy):
             self.when_revoked(revoked)
-        self.contacts.note_peer(
+        self.contacts.record_peer_contact(
             peer,
             asked_ms,
             platform_down=answer.contact_age_ms > CUT_OFF_MS,
--- a/src/radishtrack/proxy/entry.py
+++ b/src/radishtrack/proxy/entry.py
@@ -46,7 +46,7 @@
 )
 from radishtrack.proxy.router import Router
 from radishtrack.routing.options import ReadClass, RequestOptions, split_options
-from radishtrack.routing.route import EffectiveClass, RouteClass, effective_class
+from radishtrack.routing.route import EffectiveClass, RouteClass, resolve_read_class
 from radishtrack.routing.statement import Kind, Statement
 from radishtrack.session.position import Position
 from radishtrack.session.token import decode_token
@@ -285,7 +285,7 @@
         effective = _ANY_CLASS
         if statement.kind is Kind.READ:
             route = find_route(self.get_document(), database, statement)
-            effective = effective_class(
+            effective = resolve_read_class(
                 options,
                 RouteClass(ReadClass(route.read_class.value), route.max_age_ms or None),
                 position is not None,
--- a/src/radishtrack/proxy/node.py
+++ b/src/radishtrack/proxy/node.py
@@ -286,7 +286,7 @@
     def _note_contact(self, answered: bool) -> None:
         if answered:
             contact_ms = self.platform.last_contact_ms or 0.0
-            self.copies.contacts.note_platform(contact_ms)
+            self.copies.contacts.record_platform_contact(contact_ms)
 
     def _apply_objects(self, answer: WatchAnswer) -> None:
         revoked: set[str] = set()
--- a/src/radishtrack/routing/route.py
+++ b/src/radishtrack/routing/route.py
@@ -137,7 +137,7 @@
 _START: Final = Position(0, 0)
 
 
-def effective_class(
+def resolve_read_class(
     options: RequestOptions,
     route: RouteClass,
     has_position: bool,
@@ -206,7 +206,7 @@
         return _STRICT_ROUND
     if read_class is ReadClass.SESSION and request.position is None:
         return _STRICT_ROUND
-    member = prefer_member(_iterate_eligible(request), request)
+    member = select_preferred_member(_iterate_eligible(request), request)
     if member is not None:
         return ServeOn(member, Role.REPLICA)
     return _wait_or_round(request)
@@ -238,7 +238,7 @@
     )
 
 
-def prefer_member(members: Iterator[str], request: ReadRequest) -> str | None:
+def select_preferred_member(members: Iterator[str], request: ReadRequest) -> str | None:
     """Prefer the node's own zone, then the fewest requests in flight.
 
     Parameters
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -9,7 +9,7 @@
 
 from radishtrack.keys.contact import DECISION_VALID_MS, make_contact_state
 from radishtrack.keys.freshness import (
-    CUT_OFF_AFTER_MS,
+    PLATFORM_UNREACHABLE_AFTER_MS,
     Freshness,
     PeerContact,
     Refuse,
@@ -68,7 +68,7 @@
 def test_a_node_refuses_until_it_first_reaches_the_platform() -> None:
     state = make_contact_state()
     assert state.check(0) is not None
-    state.note_platform(100)
+    state.record_platform_contact(100)
     assert state.check(DECISION_VALID_MS) is None
 
 
@@ -78,12 +78,14 @@
     caplog.set_level("INFO")
     state = make_contact_state()
     state.set_peers(frozenset({"a", "b"}))
-    state.note_platform(0)
+    state.record_platform_contact(0)
     assert state.check(0) is None
-    assert not state.is_cut_off(CUT_OFF_AFTER_MS, CUT_OFF_AFTER_MS)
+    assert not state.is_platform_unreachable(
+        PLATFORM_UNREACHABLE_AFTER_MS, PLATFORM_UNREACHABLE_AFTER_MS
+    )
     for now_ms in (31_000, 31_100, 32_000):
         assert state.check(now_ms) is not None
-    state.note_peer("a", 32_000, platform_down=False, copy_age_ms=500)
+    state.record_peer_contact("a", 32_000, platform_down=False, copy_age_ms=500)
     assert state.check(33_000) is None
     assert state.decision == ServeOnPeersWord(31_500, False)
     assert state.check(62_000) is not None
@@ -94,20 +96,20 @@
 def test_late_answers_and_strangers_do_not_count() -> None:
     state = make_contact_state()
     state.set_peers(frozenset({"a"}))
-    state.note_peer("a", 5_000, platform_down=True)
-    state.note_peer("a", 4_000, platform_down=False, copy_age_ms=0)
+    state.record_peer_contact("a", 5_000, platform_down=True)
+    state.record_peer_contact("a", 4_000, platform_down=False, copy_age_ms=0)
     assert state.peers["a"] == PeerContact("a", 5_000, True)
-    state.note_peer("stranger", 5_000, platform_down=True)
+    state.record_peer_contact("stranger", 5_000, platform_down=True)
     state.set_peers(frozenset({"a"}))
     assert set(state.peers) == {"a"}
-    state.note_platform(7_000)
-    state.note_platform(6_000)
+    state.record_platform_contact(7_000)
+    state.record_platform_contact(6_000)
     assert state.platform_ms == 7_000
 
 
 def test_a_decision_is_kept_for_a_moment() -> None:
     state = make_contact_state()
-    state.note_platform(0)
+    state.record_platform_contact(0)
     assert state.check(30_000) is None
     assert state.check(30_000 + DECISION_VALID_MS - 1) is None
     assert state.check(30_000 + DECISION_VALID_MS) is not None
@@ -116,11 +118,11 @@
 def test_a_region_that_is_parted_from_the_others_goes_on() -> None:
     """Counted over the whole fleet, the smaller region would refuse everything."""
     state = make_contact_state()
-    state.note_platform(0.0)
+    state.record_platform_contact(0.0)
     fleet = frozenset({"a", "b", "x1", "x2", "x3", "x4"})
     state.set_peers(fleet, frozenset({"a", "b"}))
     for peer in ("a", "b"):
-        state.note_peer(peer, 99_000.0, platform_down=True)
+        state.record_peer_contact(peer, 99_000.0, platform_down=True)
     assert state.check(100_000.0) is None
     state.set_peers(fleet)
     assert state.check(101_000.0) is not None
--- a/tests/test_route.py
+++ b/tests/test_route.py
@@ -18,7 +18,7 @@
     StrictRound,
     WaitForPosition,
     choose_member,
-    effective_class,
+    resolve_read_class,
 )
 from radishtrack.session.position import Position, TermStart
 
@@ -124,7 +124,7 @@
     expected: ReadClass,
 ) -> None:
     options = RequestOptions(ReadClass(asked) if asked else None, age)
-    found = effective_class(options, route, has_position, in_transaction, refused)
+    found = resolve_read_class(options, route, has_position, in_transaction, refused)
     assert found.read_class is expected
 
 
@@ -133,7 +133,7 @@
 )
 def test_an_age_and_the_aged_class_belong_together(options: RequestOptions) -> None:
     with pytest.raises(RequestError) as caught:
-        effective_class(options, RouteClass(), True, False)
+        resolve_read_class(options, RouteClass(), True, False)
     assert caught.value.failure.code == ErrorCode.INVALID_OPTION
 
 
