--- a/src/radishtrack/session/position.py
+++ b/src/radishtrack/session/position.py
@@ -1,4 +1,4 @@
-"""Log positions and the history of terms that orders them."""
+"""Log positions and the history of terms."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @attrs.define(frozen=True)
 class Position:
-    """A place in a database group's log.
+    """A position in a database group's log.
 
     Parameters
     ----------
@@ -20,8 +20,8 @@
     term: int
     sequence: int
 
-    # Written out because each statement compares some twenty positions, and the
-    # methods that attrs generates make two tuples by reflection each time.
+    # Written by hand for speed: each statement compares some twenty positions, and the
+    # methods that attrs generates build two tuples by reflection each time.
     def __lt__(self, other: Position) -> bool:
         if self.term == other.term:
             return self.sequence < other.sequence
@@ -48,7 +48,7 @@
     term : int
         The term.
     sequence : int
-        The sequence of the last change before the term.
+        Sequence of the last change before the term.
     """
 
     term: int
@@ -59,14 +59,14 @@
 
 
 def is_contained(position: Position, term: int, history: History) -> bool:
-    """Tell whether a position belongs to the log of `term`.
+    """Tell whether the log of `term` contains a position.
 
     Parameters
     ----------
     position : Position
         The position to look for.
     term : int
-        The term whose log is meant.
+        The term of the log.
     history : tuple of TermStart
         The starts of all known terms.
 
--- a/src/radishtrack/session/token.py
+++ b/src/radishtrack/session/token.py
@@ -1,4 +1,4 @@
-"""Session tokens: the positions of a session, signed for its organisation."""
+"""Session tokens: the positions of a session, signed and bound to an organisation."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class TokenRefusal(enum.Enum):
-    """Why a token is treated as absent."""
+    """Why a token is rejected and treated as absent."""
 
     TOO_LONG = "longer than any valid token"
     MALFORMED = "not a token"
@@ -40,7 +40,7 @@
 def encode_token(
     positions: Mapping[str, Position], organisation: str, secret: bytes
 ) -> str:
-    """Sign the positions of a session.
+    """Encode and sign the positions of a session.
 
     Parameters
     ----------
@@ -59,12 +59,15 @@
     Raises
     ------
     RequestError
-        If the session used too many databases for one token.
+        If the positions do not fit into a token.
     """
     payload = cbor2.dumps(
         [
             organisation,
-            {name: [at.term, at.sequence] for name, at in positions.items()},
+            {
+                name: [position.term, position.sequence]
+                for name, position in positions.items()
+            },
         ]
     )
     if len(payload) > MAX_TOKEN_CHARACTERS:
@@ -72,7 +75,7 @@
     signed = (
         bytes([TOKEN_VERSION]) + len(payload).to_bytes(_LENGTH_BYTES, "big") + payload
     )
-    text = _to_text(signed + _sign(signed, secret))
+    text = _encode_base64(signed + _sign(signed, secret))
     if len(text) > MAX_TOKEN_CHARACTERS:
         raise make_not_run("session", "the session used too many databases for a token")
     return text
@@ -81,25 +84,25 @@
 def decode_token(
     text: str, organisation: str, secret: bytes
 ) -> Result[dict[str, Position], TokenRefusal]:
-    """Check a token and return its positions.
+    """Verify a token and return its positions.
 
     Parameters
     ----------
     text : str
         The token as the client sent it.
     organisation : str
-        The organisation that the client proved to be.
+        The authenticated organisation of the client.
     secret : bytes
         The secret that all nodes share.
 
     Returns
     -------
     Result
-        The position for each database, or why the token does not count.
+        The position for each database, or why the token was rejected.
     """
     if len(text) > MAX_TOKEN_CHARACTERS:
         return Error(TokenRefusal.TOO_LONG)
-    data = _from_text(text)
+    data = _decode_base64(text)
     if data is None or len(data) < 1:
         return Error(TokenRefusal.MALFORMED)
     if data[0] != TOKEN_VERSION:
@@ -110,18 +113,18 @@
     signed, mac = data[:-_MAC_BYTES], data[-_MAC_BYTES:]
     if not hmac.compare_digest(mac, _sign(signed, secret)):
         return Error(TokenRefusal.FORGED)
-    return _read_payload(signed[_HEADER_BYTES:], organisation)
+    return _decode_payload(signed[_HEADER_BYTES:], organisation)
 
 
 def _sign(signed: bytes, secret: bytes) -> bytes:
     return hmac.digest(secret, _PURPOSE + signed, hashlib.sha256)
 
 
-def _to_text(data: bytes) -> str:
+def _encode_base64(data: bytes) -> str:
     return base64.urlsafe_b64encode(data).rstrip(b"=").decode("ascii")
 
 
-def _from_text(text: str) -> bytes | None:
+def _decode_base64(text: str) -> bytes | None:
     try:
         data = base64.b64decode(
             text.encode("ascii") + b"=" * (-len(text) % 4),
@@ -130,18 +133,18 @@
         )
     except (binascii.Error, UnicodeEncodeError):
         return None
-    # Base64 has several spellings of the same bytes; only one counts.
-    return data if _to_text(data) == text else None
+    # Base64 has several encodings of the same bytes; only the canonical one is valid.
+    return data if _encode_base64(data) == text else None
 
 
-def _read_payload(
+def _decode_payload(
     payload: bytes, organisation: str
 ) -> Result[dict[str, Position], TokenRefusal]:
     try:
-        issued_to, places = cbor2.loads(payload)
+        issued_to, entries = cbor2.loads(payload)
         positions = {
-            str(name): Position(_read_integer(term), _read_integer(sequence))
-            for name, (term, sequence) in places.items()
+            str(name): Position(_check_integer(term), _check_integer(sequence))
+            for name, (term, sequence) in entries.items()
         }
     except (cbor2.CBORError, ValueError, TypeError, AttributeError):
         return Error(TokenRefusal.MALFORMED)
@@ -150,7 +153,7 @@
     return Ok(positions)
 
 
-def _read_integer(value: object) -> int:
+def _check_integer(value: object) -> int:
     if not isinstance(value, int) or not 0 <= value < _MAX_INTEGER:
         raise ValueError
     return value
--- a/tests/test_position.py
+++ b/tests/test_position.py
@@ -1,4 +1,4 @@
-"""Guards the ordering of log positions across changes of primary."""
+"""Order of log positions across promotions."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         (Position(3, 16), 2, False),
     ],
 )
-def test_positions_beyond_a_promotion_are_not_contained(
+def test_positions_discarded_by_a_promotion_are_not_contained(
     position: Position, term: int, expected: bool
 ) -> None:
     assert is_contained(position, term, HISTORY) is expected
--- a/tests/test_token.py
+++ b/tests/test_token.py
@@ -1,4 +1,4 @@
-"""Guards session tokens: exact round trip, and no token that was not issued."""
+"""Session tokens: exact round trip, and rejection of tokens that were not issued."""
 
 from __future__ import annotations
 
@@ -38,22 +38,22 @@
 @given(
     index=st.integers(0, len(TOKEN) - 1),
     letter=st.sampled_from(ALPHABET + "=+/é"),
-    cut=st.sampled_from(["replace", "insert", "delete", "truncate"]),
+    edit=st.sampled_from(["replace", "insert", "delete", "truncate"]),
 )
-def test_no_changed_token_is_accepted(index: int, letter: str, cut: str) -> None:
+def test_modified_tokens_are_rejected(index: int, letter: str, edit: str) -> None:
     changed = {
         "replace": TOKEN[:index] + letter + TOKEN[index + 1 :],
         "insert": TOKEN[:index] + letter + TOKEN[index:],
         "delete": TOKEN[:index] + TOKEN[index + 1 :],
         "truncate": TOKEN[:index],
-    }[cut]
+    }[edit]
     if changed != TOKEN:
         assert decode_token(changed, "sportshall", SECRET).is_error()
 
 
 @pytest.mark.parametrize("organisation", ["a", "ab", "abc"])
-def test_each_token_has_one_spelling(organisation: str) -> None:
-    """Base64 ignores the lowest bits of the last letter."""
+def test_each_token_has_one_valid_encoding(organisation: str) -> None:
+    """Base64 decoders ignore the lowest bits of the last character."""
     token = encode_token(POSITIONS, organisation, SECRET)
     for letter in ALPHABET.replace(token[-1], ""):
         assert decode_token(token[:-1] + letter, organisation, SECRET).is_error()
@@ -79,14 +79,14 @@
         ("A" * 5000, "sportshall", SECRET, TokenRefusal.TOO_LONG),
     ],
 )
-def test_refusals_say_why(
+def test_rejected_tokens_report_the_reason(
     text: str, organisation: str, secret: bytes, refusal: TokenRefusal
 ) -> None:
     assert decode_token(text, organisation, secret).error is refusal
 
 
 def test_a_session_with_too_many_databases_gets_an_error_not_a_partial_token() -> None:
-    """A token without some positions would allow reads that miss own writes."""
+    """A token that lacks positions would allow reads that miss own writes."""
     many = {f"database-{number}": Position(1, number) for number in range(400)}
     with pytest.raises(RequestError):
         encode_token(many, "sportshall", SECRET)
