--- a/src/radishtrack/keys/copy.py
+++ b/src/radishtrack/keys/copy.py
@@ -1,4 +1,4 @@
-"""Copies of the keyring for peers that are cut off from the platform."""
+"""Copies of the keyring for peers that cannot reach the platform."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 @attrs.define(frozen=True)
 class KeysCopy:
-    """A peer's keyring.
+    """A copy of a peer's keyring.
 
     Parameters
     ----------
     age_ms : float
-        How long before sending the peer's keyring last equalled the platform's; the
-        receiver subtracts it from the time at which it sent the request.
+        Time since the peer's keyring was last confirmed to equal the platform's, when
+        the copy was sent; the receiver subtracts it from the time of its request.
     digest : str
-        Identifies the versions of all objects; if the receiver has the same, the
-        copy only brings a new date.
+        Digest of the versions of all objects; if the receiver has the same, the copy
+        only updates its age.
     objects : dict
         Version and value by organisation.
     """
@@ -52,11 +52,11 @@
     keyring : Keyring
         This node's keys.
     age_ms : float
-        How long ago they last equalled the platform's, in milliseconds.
+        Time since they were last confirmed to equal the platform's, in milliseconds.
     secret : str
         The peer secret.
     known_digest : str
-        Digest of what the peer has; if it is the same, the copy holds no keys.
+        Digest of the peer's keyring; if it is the same, the copy contains no keys.
     """
     digest = compute_digest(keyring)
     objects = {
@@ -81,7 +81,7 @@
 
 
 def apply_copy(keyring: Keyring, copy: KeysCopy) -> tuple[RevokedKey, ...]:
-    """Take what is newer in a peer's copy; returns the keys that it revokes."""
+    """Apply the newer versions in a peer's copy; return the keys that it revokes."""
     return tuple(
         revoked
         for name, (version, value) in copy.objects.items()
--- a/src/radishtrack/keys/key.py
+++ b/src/radishtrack/keys/key.py
@@ -13,13 +13,13 @@
 ALPHABET: Final = "abcdefghijklmnopqrstuvwxyz234567"
 KEY_ID_CHARACTERS: Final = 8
 SECRET_CHARACTERS: Final = 32
-"""160 random bits, so that a stolen verifier allows no dictionary attack."""
+"""160 random bits, so that a stolen verifier cannot be attacked with a dictionary."""
 
 PREFIX: Final = "rtk_"
 DIGEST_BYTES: Final = 20
 
 RandomBytes = Callable[[int], bytes]
-"""Returns that many random bytes, for example `secrets.token_bytes`."""
+"""Returns the given number of random bytes, for example `secrets.token_bytes`."""
 
 _KEY: Final = re.compile(
     rf"rtk_([a-z2-7]{{{KEY_ID_CHARACTERS}}})_[a-z2-7]{{{SECRET_CHARACTERS}}}"
@@ -28,14 +28,14 @@
 
 @attrs.define(frozen=True)
 class IssuedKey:
-    """A new key; the text is shown once and stored nowhere.
+    """A new key; its text is shown once and never stored.
 
     Parameters
     ----------
     organisation : str
         The organisation that the key is for.
     text : str
-        What a client presents as its password.
+        The password that a client presents.
     key_id : str
         Identifier of the key, part of the text and no secret.
     verifier_hex : str
@@ -58,8 +58,8 @@
     random : callable
         Source of cryptographically strong random bytes.
     """
-    key_id = _draw_text(random, KEY_ID_CHARACTERS)
-    text = f"{PREFIX}{key_id}_{_draw_text(random, SECRET_CHARACTERS)}"
+    key_id = _generate_text(random, KEY_ID_CHARACTERS)
+    text = f"{PREFIX}{key_id}_{_generate_text(random, SECRET_CHARACTERS)}"
     return IssuedKey(organisation, text, key_id, compute_verifier(text).hex())
 
 
@@ -90,7 +90,7 @@
     Returns
     -------
     bool
-        The comparison takes the same time wherever the texts differ.
+        The comparison takes constant time.
     """
     if len(scramble) != DIGEST_BYTES or len(verifier) != DIGEST_BYTES:
         return False
@@ -108,11 +108,11 @@
 
 
 def parse_key_id(text: str) -> str | None:
-    """Return the identifier in a key text, or None if it has another form."""
+    """Return the identifier in a key text, or None if the text is not a key."""
     match = _KEY.fullmatch(text)
     return match[1] if match else None
 
 
-def _draw_text(random: RandomBytes, length: int) -> str:
-    # 32 characters divide 256 evenly, so every character is equally likely.
+def _generate_text(random: RandomBytes, length: int) -> str:
+    # 256 is a multiple of 32, so every character is equally likely.
     return "".join(ALPHABET[byte % len(ALPHABET)] for byte in random(length))
--- a/src/radishtrack/keys/keyring.py
+++ b/src/radishtrack/keys/keyring.py
@@ -20,7 +20,7 @@
 
 @attrs.define(frozen=True)
 class Verifier:
-    """What is stored of one key that is not revoked."""
+    """The stored digest of an active key."""
 
     organisation: str
     key_id: str
@@ -29,7 +29,7 @@
 
 @attrs.define(frozen=True)
 class RevokedKey:
-    """A key that was active and no longer is."""
+    """A key that is no longer active."""
 
     organisation: str
     key_id: str
@@ -47,8 +47,8 @@
 class Keyring:
     """The active keys of all organisations.
 
-    Every object only moves to a higher version, so an answer that arrives late cannot
-    make a revoked key valid again.
+    An object is replaced only by a higher version, so a delayed response cannot make a
+    revoked key valid again.
     """
 
     organisations: dict[str, OrganisationKeys] = attrs.field(factory=dict)
@@ -67,12 +67,12 @@
 
     def contains_key(self, sql: str) -> bool:
         """Tell whether a statement contains the text of an active key."""
-        return any(self._is_key(text) for text in find_key_texts(sql))
+        return any(self._is_active_key(text) for text in find_key_texts(sql))
 
     def apply_object(
         self, organisation: str, version: int, value: Mapping[str, Any] | None
     ) -> tuple[RevokedKey, ...]:
-        """Take a new version of an organisation's keys.
+        """Apply a new version of an organisation's keys.
 
         Parameters
         ----------
@@ -86,14 +86,14 @@
         Returns
         -------
         tuple of RevokedKey
-            Keys that were active until now and are not in this version; empty if the
-            version is not higher than the present one.
+            Keys that were active and are not in this version; empty if the version is
+            not higher than the current one.
         """
         present = self.organisations.get(organisation)
         if present is not None and version <= present.version:
             return ()
-        verifiers = _read_verifiers(organisation, value)
-        self._index(present.verifiers if present else {}, verifiers)
+        verifiers = _parse_verifiers(organisation, value)
+        self._update_index(present.verifiers if present else {}, verifiers)
         self.organisations[organisation] = OrganisationKeys(version, verifiers)
         before = present.verifiers if present else {}
         return tuple(
@@ -102,19 +102,19 @@
             if verifiers.get(key_id) != verifier
         )
 
-    def _is_key(self, text: str) -> bool:
+    def _is_active_key(self, text: str) -> bool:
         candidates = self.by_id.get(parse_key_id(text) or "", ())
         if not candidates:
             return False
         digest = compute_verifier(text)
         return any(verifier.digest == digest for verifier in candidates)
 
-    def _index(
+    def _update_index(
         self, before: Mapping[str, Verifier], after: Mapping[str, Verifier]
     ) -> None:
         for key_id, verifier in before.items():
-            kept = (item for item in self.by_id[key_id] if item is not verifier)
-            self.by_id[key_id] = tuple(kept)
+            remaining = (item for item in self.by_id[key_id] if item is not verifier)
+            self.by_id[key_id] = tuple(remaining)
             if not self.by_id[key_id]:
                 del self.by_id[key_id]
         for key_id, verifier in after.items():
@@ -127,7 +127,7 @@
 
 
 def encode_keys(keys: OrganisationKeys) -> dict[str, Any]:
-    """Return the active keys in the form of the platform's object."""
+    """Return the active keys as the value of a platform object."""
     entries = [
         {"id": verifier.key_id, "verifier": verifier.digest.hex()}
         for verifier in keys.verifiers.values()
@@ -135,20 +135,20 @@
     return {"keys": entries}
 
 
-def _read_verifiers(
+def _parse_verifiers(
     organisation: str, value: Mapping[str, Any] | None
 ) -> dict[str, Verifier]:
-    """Return the active keys; an entry that cannot be read counts as revoked."""
+    """Return the active keys; an entry that cannot be parsed counts as revoked."""
     verifiers = {}
     entries = (value or {}).get("keys")
     for entry in entries if isinstance(entries, list) else ():
-        verifier = _read_verifier(organisation, entry)
+        verifier = _parse_verifier(organisation, entry)
         if verifier is not None:
             verifiers[verifier.key_id] = verifier
     return verifiers
 
 
-def _read_verifier(organisation: str, entry: object) -> Verifier | None:
+def _parse_verifier(organisation: str, entry: object) -> Verifier | None:
     if not isinstance(entry, dict) or entry.get("revoked"):
         return None
     key_id, text = entry.get("id"), entry.get("verifier")
--- a/src/radishtrack/keys/store.py
+++ b/src/radishtrack/keys/store.py
@@ -1,4 +1,4 @@
-"""Issues and revokes keys in the platform's ``keys/<organisation>`` objects."""
+"""Stores and revokes keys in the platform's ``keys/<organisation>`` objects."""
 
 from __future__ import annotations
 
@@ -50,18 +50,18 @@
 
 async def fetch_keys(store: ObjectStore, organisation: str) -> Entries:
     """Return all keys of an organisation, revoked ones included."""
-    found = await store.get(KIND, organisation)
-    return read_entries(found.value if found else None)
+    stored = await store.get(KIND, organisation)
+    return read_entries(stored.value if stored else None)
 
 
 async def add_key(store: ObjectStore, issued: IssuedKey, created: str) -> Entries:
-    """Store an issued key; returns the organisation's keys.
+    """Store an issued key; return the organisation's keys.
 
     Raises
     ------
     StoreUnavailable
-        If the platform does not answer; the key may or may not be stored, and is
-        harmless if nobody was given its text.
+        If the platform does not respond; the key may be stored or not, and is harmless
+        as long as its text was not handed out.
     """
     entry = KeyEntry(issued.key_id, issued.verifier_hex, created)
 
@@ -74,14 +74,14 @@
 async def revoke_key(
     store: ObjectStore, organisation: str, key_id: str, revoked: str
 ) -> Entries:
-    """Mark a key as revoked; returns the organisation's keys.
+    """Mark a key as revoked; return the organisation's keys.
 
     Raises
     ------
     KeyNotFound
         If there is no such key.
     StoreUnavailable
-        If the platform does not answer; revoking again is safe.
+        If the platform does not respond; the call can safely be repeated.
     """
 
     def mark_entry(entries: Entries) -> Entries:
@@ -100,24 +100,26 @@
 async def _update(
     store: ObjectStore, organisation: str, change: Callable[[Entries], Entries]
 ) -> Entries:
-    """Repeat a conditional update until it is in force, whoever else writes."""
+    """Update with compare-and-swap; retry on conflicts and lost responses."""
     for _ in range(WRITE_ATTEMPTS):
-        found = await store.get(KIND, organisation)
-        present = read_entries(found.value if found else None)
-        wanted = change(present)
-        if wanted == present:
-            return present
-        value = {"keys": [attrs.asdict(entry) for entry in wanted]}
-        version = found.version if found else 0
+        stored = await store.get(KIND, organisation)
+        current = read_entries(stored.value if stored else None)
+        updated = change(current)
+        if updated == current:
+            return current
+        value = {"keys": [attrs.asdict(entry) for entry in updated]}
+        version = stored.version if stored else 0
         result = await store.put(KIND, organisation, value, version)
         if result is WriteResult.WRITTEN:
-            return wanted
+            return updated
         await asyncio.sleep(store.retry_pause_ms / SECOND_MS)
-    raise StoreUnavailable(f"the keys of {organisation} could not be updated")
+    raise StoreUnavailable(
+        f"the keys of {organisation} could not be updated in {WRITE_ATTEMPTS} attempts"
+    )
 
 
 def read_entries(value: Any) -> Entries:
-    """Return the keys in the value of a platform object; None holds no keys."""
+    """Return the keys in the value of a platform object; None contains no keys."""
     entries = value.get("keys", []) if isinstance(value, dict) else []
     return tuple(
         KeyEntry(
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -1,4 +1,4 @@
-"""Guards that a request runs only for its key's organisation, and on its routes."""
+"""Access of organisations and of clients without a key to tables, by route."""
 
 from __future__ import annotations
 
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Guards that only present keys open the door of their own organisation."""
+"""Keys: only active keys give access, and only for their own organisation."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
     assert issue_key("verksted", secrets.token_bytes).text != ISSUED.text
 
 
-def test_the_scramble_of_an_independent_client_is_accepted() -> None:
+def test_the_scramble_of_an_independent_implementation_is_accepted() -> None:
     scramble = scramble_native_password(ISSUED.text.encode(), NONCE)
     assert scramble == compute_scramble(ISSUED.text, NONCE)
     assert verify_scramble(bytes.fromhex(ISSUED.verifier_hex), NONCE, scramble)
@@ -88,7 +88,7 @@
     assert find_key_texts(sql) == [ISSUED.text] * count
 
 
-def test_only_texts_that_verify_count_as_keys() -> None:
+def test_only_texts_with_a_matching_verifier_are_keys() -> None:
     keyring = make_keyring()
     entry = {"id": ISSUED.key_id, "verifier": ISSUED.verifier_hex}
     keyring.apply_object("verksted", 1, {"keys": [entry]})
@@ -100,7 +100,7 @@
     assert keyring.by_id == {}
 
 
-def test_a_key_opens_only_its_own_organisation() -> None:
+def test_a_key_is_active_only_for_its_own_organisation() -> None:
     keyring = make_keyring()
     keyring.apply_object("a", 1, make_value("k1"))
     keyring.apply_object("b", 2, make_value("k2"))
@@ -124,20 +124,20 @@
         ({"keys": [{"id": "k1", "verifier": "00" * 20}]}, {"k1", "k2"}),
     ],
 )
-def test_a_new_version_tells_which_keys_it_revokes(
+def test_a_new_version_reports_the_keys_that_it_revokes(
     value: dict[str, Any] | None, revoked: set[str]
 ) -> None:
-    """A key with another verifier is another key; damaged entries are not active."""
+    """A changed verifier makes a different key; damaged entries are not active."""
     keyring = make_keyring()
     assert keyring.apply_object("a", 3, make_value("k1", "k2")) == ()
-    found = keyring.apply_object("a", 4, value)
-    assert set(found) == {RevokedKey("a", key_id) for key_id in revoked}
+    revocations = keyring.apply_object("a", 4, value)
+    assert set(revocations) == {RevokedKey("a", key_id) for key_id in revoked}
 
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(st.integers(1, 8), max_size=20))
 def test_a_revoked_key_never_becomes_valid_again(versions: list[int]) -> None:
-    """Version 4 and later revoke k1; answers arrive in any order."""
+    """Version 4 and later revoke k1; responses arrive in any order."""
     keyring = make_keyring()
     revocations = []
     highest = 0
@@ -157,7 +157,7 @@
     return keyring
 
 
-def test_a_peers_copy_brings_revocations_and_never_goes_back() -> None:
+def test_a_peers_copy_applies_revocations_and_never_reverts_them() -> None:
     newer, older = make_filled_keyring(5, "k2"), make_filled_keyring(4, "k1", "k2")
     copy = open_keys(seal_keys(newer, 1_500.0, SECRET), SECRET)
     assert copy is not None
@@ -170,7 +170,7 @@
     assert not older.is_active("a", "k1")
 
 
-def test_an_equal_copy_holds_no_keys_and_a_forged_one_is_refused() -> None:
+def test_an_equal_copy_contains_no_keys_and_a_forged_one_is_rejected() -> None:
     keyring = make_filled_keyring(5, "k2")
     digest = compute_digest(keyring)
     copy = open_keys(seal_keys(keyring, 0, SECRET, known_digest=digest), SECRET)
@@ -183,7 +183,9 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-async def test_keys_are_issued_and_revoked_once_whatever_gets_lost(fault: str) -> None:
+async def test_keys_are_issued_and_revoked_once_despite_lost_messages(
+    fault: str,
+) -> None:
     platform = MemoryPlatform([fault, "ok", fault])
     store = platform.make_store()
     await add_key(store, ISSUED, "then")
@@ -199,7 +201,7 @@
     assert platform.written_kinds == ["keys", "keys"]
 
 
-async def test_an_unknown_key_or_a_dead_platform_is_an_error() -> None:
+async def test_an_unknown_key_or_an_unavailable_platform_is_an_error() -> None:
     platform = MemoryPlatform()
     store = platform.make_store()
     with pytest.raises(KeyNotFound):
