--- a/src/radishtrack/keys/contact.py
+++ b/src/radishtrack/keys/contact.py
@@ -25,7 +25,7 @@
 class ContactState:
     """Evidence of the age of this node's keys; times are on its clock."""
 
-    platform_ms: float = -math.inf
+    platform_contact_ms: float = -math.inf
     """When the platform last responded."""
     peers: dict[str, PeerContact] = attrs.field(factory=dict)
     peer_count: int = 0
@@ -35,7 +35,7 @@
 
     def record_platform_contact(self, contact_ms: float) -> None:
         """Record a response of the platform; an older one changes nothing."""
-        self.platform_ms = max(self.platform_ms, contact_ms)
+        self.platform_contact_ms = max(self.platform_contact_ms, contact_ms)
 
     def record_peer_contact(
         self,
@@ -87,7 +87,7 @@
 
     def is_platform_unreachable(self, now_ms: float, limit_ms: float) -> bool:
         """Tell whether the last response of the platform is older than `limit_ms`."""
-        return now_ms - self.platform_ms > limit_ms
+        return now_ms - self.platform_contact_ms > limit_ms
 
     def check(self, now_ms: float) -> Refuse | None:
         """Return why requests that need a key are refused, or None if they are not.
@@ -102,7 +102,7 @@
         previous = self.decision
         self.decided_ms = now_ms
         self.decision = decide_freshness(
-            now_ms, self.platform_ms, self.peers.values(), self.peer_count
+            now_ms, self.platform_contact_ms, self.peers.values(), self.peer_count
         )
         was_refused = isinstance(previous, Refuse)
         if isinstance(self.decision, Refuse) and not was_refused:
--- a/src/radishtrack/proxy/copies.py
+++ b/src/radishtrack/proxy/copies.py
@@ -84,7 +84,7 @@
 
     def answer(self, request: CopyRequest) -> Copy:
         """Return this node's copies for a peer."""
-        age_ms = self.clock.now_ms() - self.contacts.platform_ms
+        age_ms = self.clock.now_ms() - self.contacts.platform_contact_ms
         objects = [
             seal_keys(
                 self.keyring,
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -104,7 +104,7 @@
     assert set(state.peers) == {"a"}
     state.record_platform_contact(7_000)
     state.record_platform_contact(6_000)
-    assert state.platform_ms == 7_000
+    assert state.platform_contact_ms == 7_000
 
 
 def test_a_decision_is_kept_for_a_moment() -> None:
