--- a/src/radishtrack/config/__init__.py
+++ b/src/radishtrack/config/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' configuration: text, validation, chunks, changes and the store."""
+"""The configuration: parsing, validation, chunks, changes and the store."""
--- a/src/radishtrack/config/_lines.py
+++ b/src/radishtrack/config/_lines.py
@@ -1,4 +1,4 @@
-"""Finds the line of a key in TOML text; `tomllib` keeps no positions."""
+"""Finds the line of a key in TOML text, because `tomllib` reports no positions."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def find_line(lines: Mapping[KeyPath, int], path: KeyPath) -> int:
-    """Return the line of a path, or of the nearest table around it."""
+    """Return the line of a path, or of the nearest enclosing table."""
     for length in range(len(path), 0, -1):
         if path[:length] in lines:
             return lines[path[:length]]
@@ -48,7 +48,7 @@
 
 
 def find_error_line(message: str, text: str) -> int:
-    """Return the line that a message of `tomllib` names, or the last one."""
+    """Return the line in an error message of `tomllib`, or the last one."""
     position = _POSITION.search(message)
     return int(position[1]) if position else max(1, len(text.splitlines()))
 
--- a/src/radishtrack/config/_parse.py
+++ b/src/radishtrack/config/_parse.py
@@ -1,4 +1,4 @@
-"""Reads the parts of a configuration from parsed TOML, with all problems."""
+"""Reads and validates the parts of a configuration from parsed TOML."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 """User name of clients without a key; no organisation may have it."""
 
 MIN_MEMBERS: Final = 3
-"""With fewer, losing one member leaves no majority to fence."""
+"""With fewer, the loss of one member leaves no majority that can be fenced."""
 
 MAX_MEMBERS: Final = 9
 MAX_PORT: Final = 65_535
@@ -66,12 +66,12 @@
 _Part = TypeVar("_Part", bound=_Named)
 
 
-def read_parts(content: Mapping[str, Any], problems: list[Problem]) -> Parts:
-    """Return the parts of a configuration; what is wrong is added to `problems`.
+def read_parts(tables: Mapping[str, Any], problems: list[Problem]) -> Parts:
+    """Return the parts of a configuration; append all problems to `problems`.
 
     Parameters
     ----------
-    content : mapping
+    tables : mapping
         The parsed TOML text.
     problems : list of Problem
         Receives every problem.
@@ -81,14 +81,14 @@
     Parts
         Usable only if there was no problem.
     """
-    parts = read_single_parts(content, problems)
+    parts = read_single_parts(tables, problems)
     check_parts(parts, problems)
     return parts
 
 
-def read_single_parts(content: Mapping[str, Any], problems: list[Problem]) -> Parts:
-    """Return the parts, each checked by itself only."""
-    root = TableReader(content, (), problems)
+def read_single_parts(tables: Mapping[str, Any], problems: list[Problem]) -> Parts:
+    """Return the parts, each validated only by itself."""
+    root = TableReader(tables, (), problems)
     parts = Parts(
         tuple(_read_owner(table) for table in root.read_tables("owner")),
         tuple(_read_organisation(table) for table in root.read_tables("organisation")),
@@ -100,7 +100,7 @@
 
 
 def check_parts(parts: Parts, problems: list[Problem]) -> None:
-    """Check what concerns several parts: names, references, cycles and routes."""
+    """Check unique names, references, cycles and routes across the parts."""
     _check_unique(("owner",), parts.owners, problems)
     _check_unique(("organisation",), parts.organisations, problems)
     _check_unique(("database",), parts.databases, problems)
@@ -110,9 +110,9 @@
     _check_routes(parts.services, problems)
 
 
-def join_parts(several: Iterable[Parts]) -> Parts:
-    """Return the parts of several pieces as one, sorted by name."""
-    pieces = tuple(several)
+def join_parts(chunk_parts: Iterable[Parts]) -> Parts:
+    """Merge parts, sorted by name."""
+    pieces = tuple(chunk_parts)
     return Parts(
         _join_named(piece.owners for piece in pieces),
         _join_named(piece.organisations for piece in pieces),
@@ -121,8 +121,8 @@
     )
 
 
-def _join_named(several: Iterable[Iterable[_Part]]) -> tuple[_Part, ...]:
-    joined = (part for parts in several for part in parts)
+def _join_named(groups: Iterable[Iterable[_Part]]) -> tuple[_Part, ...]:
+    joined = (part for parts in groups for part in parts)
     return tuple(sorted(joined, key=lambda part: part.name))
 
 
@@ -251,8 +251,8 @@
     for index, part in enumerate(parts):
         if part.name and part.name in seen:
             expected = f"a different name for each {path[-1]}"
-            where = (*path, index, "name")
-            problems.append(Problem(where, expected, f"{part.name!r} twice"))
+            name_path = (*path, index, "name")
+            problems.append(Problem(name_path, expected, f"{part.name!r} twice"))
         seen.add(part.name)
 
 
@@ -278,39 +278,39 @@
 
 
 def _check_cycles(services: tuple[Service, ...], problems: list[Problem]) -> None:
-    """Report each cycle once, at the service at which it is entered first."""
+    """Report each cycle once, at the dependency that closes it."""
     edges = {service.name: service.depends_on for service in services}
     indices = {service.name: index for index, service in enumerate(services)}
     finished: set[str] = set()
     for start in edges:
         stack = [(start, iter(edges[start]))]
-        trail = [start]
+        chain = [start]
         while stack:
             name, following = stack[-1]
             target = next(following, None)
             if target is None:
                 finished.add(name)
                 stack.pop()
-                trail.pop()
-            elif target in trail:
-                cycle = " -> ".join([*trail[trail.index(target) :], target])
-                where = ("service", indices[name], "depends_on")
+                chain.pop()
+            elif target in chain:
+                cycle = " -> ".join([*chain[chain.index(target) :], target])
+                path = ("service", indices[name], "depends_on")
                 problems.append(
-                    Problem(where, "dependencies without a cycle", f"the cycle {cycle}")
+                    Problem(path, "dependencies without a cycle", f"the cycle {cycle}")
                 )
             elif target in edges and target not in finished:
                 stack.append((target, iter(edges[target])))
-                trail.append(target)
+                chain.append(target)
 
 
 def _check_routes(services: tuple[Service, ...], problems: list[Problem]) -> None:
-    """Report a table whose reads or writes belong to two routes."""
-    taken: dict[tuple[str, str, bool], str] = {}
+    """Report tables whose reads or writes belong to more than one route."""
+    labels: dict[tuple[str, str, bool], str] = {}
     for service_index, service in enumerate(services):
         for route_index, route in enumerate(service.routes):
             path = ("service", service_index, "route", route_index, "tables")
             for key in route.keys:
-                other = taken.setdefault(key, route.label)
+                other = labels.setdefault(key, route.label)
                 if other != route.label:
                     kind = "reads" if key[2] else "writes"
                     expected = "each table in one route for reads and one for writes"
--- a/src/radishtrack/config/change.py
+++ b/src/radishtrack/config/change.py
@@ -1,4 +1,4 @@
-"""The difference between two configurations, as typed entries and as text."""
+"""The difference between two configurations, as objects and as text."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Action(enum.Enum):
-    """What happened to an entry."""
+    """How an entry changed."""
 
     ADDED = "added"
     REMOVED = "removed"
@@ -23,12 +23,12 @@
 
 @attrs.define(frozen=True)
 class FieldChange:
-    """A value that differs; None stands for a value that is not there.
+    """A value that differs; None stands for a missing value.
 
     Parameters
     ----------
     field : str
-        The value, for example ``connections`` or ``member[a].port``.
+        Path of the value, for example ``connections`` or ``member[a].port``.
     before, after : object
         The two values.
     """
@@ -38,7 +38,9 @@
     after: object
 
     def __str__(self) -> str:
-        return f"{self.field} {_render(self.before)} -> {_render(self.after)}"
+        return (
+            f"{self.field} {_render_value(self.before)} -> {_render_value(self.after)}"
+        )
 
 
 @attrs.define(frozen=True)
@@ -48,7 +50,7 @@
     Parameters
     ----------
     action : Action
-        What happened to the entry.
+        How the entry changed.
     kind : str
         ``owner``, ``organisation``, ``database`` or ``service``.
     name : str
@@ -69,21 +71,23 @@
 
 
 def diff_documents(before: Document | None, after: Document) -> tuple[Change, ...]:
-    """Return how `after` differs from `before`, by kind and name.
+    """Return the changes from `before` to `after`, sorted by kind and name.
 
     Parameters
     ----------
     before : Document or None
-        The earlier document; None counts as empty.
+        The earlier document; None for an empty one.
     after : Document
         The later document.
     """
     old = _index_entries(before) if before else {}
     new = _index_entries(after)
-    changes = [_compare(key, old.get(key), new.get(key)) for key in old | new]
-    found = (change for change in changes if change is not None)
+    comparisons = [
+        _compare_entries(key, old.get(key), new.get(key)) for key in old | new
+    ]
+    changes = (change for change in comparisons if change is not None)
     return tuple(
-        sorted(found, key=lambda change: (PART_KINDS.index(change.kind), change.name))
+        sorted(changes, key=lambda change: (PART_KINDS.index(change.kind), change.name))
     )
 
 
@@ -96,7 +100,7 @@
     return {(kind, part["name"]): part for kind, part in list_entries(document)}
 
 
-def _compare(
+def _compare_entries(
     key: tuple[str, str], before: dict[str, Any] | None, after: dict[str, Any] | None
 ) -> Change | None:
     kind, name = key
@@ -116,7 +120,7 @@
 
 
 def _flatten(entry: dict[str, Any], prefix: str = "") -> Iterator[tuple[str, object]]:
-    """Yield values by path; members and routes are found by name, not by place."""
+    """Yield values by path; members and routes are identified by name, not index."""
     for key, value in entry.items():
         if isinstance(value, list) and value and isinstance(value[0], dict):
             for part in value:
@@ -125,7 +129,7 @@
             yield f"{prefix}{key}", value
 
 
-def _render(value: object) -> str:
+def _render_value(value: object) -> str:
     if value is None:
         return "nothing"
     if isinstance(value, list):
--- a/src/radishtrack/config/chunk.py
+++ b/src/radishtrack/config/chunk.py
@@ -1,4 +1,4 @@
-"""Splits a configuration into content-addressed chunks and puts it together again."""
+"""Splits a configuration into content-addressed chunks, and its manifest."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 )
 
 MAX_CHUNK_BYTES: Final = 6_144
-"""Splitting in halves at this size leaves chunks of about 4 KB on average."""
+"""Chunks above this size are split in two, which makes them 4 KB on average."""
 
-MAX_DEPTH: Final = 64
-HISTORY_ENTRIES: Final = 10
-HISTORY_LINES: Final = 12
-HISTORY_LINE_CHARACTERS: Final = 200
+MAX_SPLIT_DEPTH: Final = 64
+MAX_HISTORY_ENTRIES: Final = 10
+MAX_HISTORY_LINES: Final = 12
+MAX_HISTORY_LINE_CHARACTERS: Final = 200
 
 Entry = tuple[str, dict[str, Any]]
-"""The kind of a part and the part in the form of the operators' text."""
+"""The kind of a part and its table as in the configuration file."""
 
 
 class ChunkError(ValueError):
@@ -44,11 +44,11 @@
     revision : int
         The revision that the change made.
     apply_id : str
-        Identifier of the attempt, which resolves a lost answer.
+        Identifier of the attempt; tells after a lost response whether it took effect.
     author : str
         The operator.
     changes : tuple of str
-        What changed, one line each, shortened.
+        The changes, one truncated line each.
     content : str
         Digest of the revision's chunk list.
     """
@@ -62,7 +62,7 @@
 
 @attrs.define(frozen=True)
 class Manifest:
-    """What a revision consists of (platform object ``config/manifest``).
+    """The chunks and history of a revision (platform object ``config/manifest``).
 
     Parameters
     ----------
@@ -80,7 +80,7 @@
 
     @property
     def apply_id(self) -> str:
-        """The attempt that made this revision."""
+        """Identifier of the attempt that made this revision."""
         return self.history[-1].apply_id if self.history else ""
 
     @property
@@ -88,10 +88,10 @@
         """The operator who made this revision."""
         return self.history[-1].author if self.history else ""
 
-    def find_apply(self, apply_id: str) -> AppliedChange | None:
-        """Return the change that an attempt made, if it took effect recently."""
-        found = (change for change in self.history if change.apply_id == apply_id)
-        return next(found, None)
+    def find_attempt(self, apply_id: str) -> AppliedChange | None:
+        """Return the change that an attempt made, if it is in the history."""
+        matches = (change for change in self.history if change.apply_id == apply_id)
+        return next(matches, None)
 
 
 EMPTY_MANIFEST: Final = Manifest(0, ())
@@ -106,20 +106,20 @@
     changes: Iterable[str],
 ) -> Manifest:
     """Return the manifest of the next revision."""
-    lines = [line[:HISTORY_LINE_CHARACTERS] for line in changes]
-    if len(lines) > HISTORY_LINES:
-        hidden = len(lines) - HISTORY_LINES + 1
-        lines = [*lines[: HISTORY_LINES - 1], f"and {hidden} more"]
+    lines = [line[:MAX_HISTORY_LINE_CHARACTERS] for line in changes]
+    if len(lines) > MAX_HISTORY_LINES:
+        omitted = len(lines) - MAX_HISTORY_LINES + 1
+        lines = [*lines[: MAX_HISTORY_LINES - 1], f"and {omitted} more"]
     revision = manifest.revision + 1
     digests = tuple(sorted(chunks))
-    content = compute_content(digests)
-    change = AppliedChange(revision, apply_id, author, tuple(lines), content)
-    history = (*manifest.history, change)[-HISTORY_ENTRIES:]
+    digest = compute_chunk_list_digest(digests)
+    change = AppliedChange(revision, apply_id, author, tuple(lines), digest)
+    history = (*manifest.history, change)[-MAX_HISTORY_ENTRIES:]
     return Manifest(revision, digests, history)
 
 
-def compute_content(chunks: Iterable[str]) -> str:
-    """Return a digest of a list of chunk digests, in any order."""
+def compute_chunk_list_digest(chunks: Iterable[str]) -> str:
+    """Return a digest of chunk digests; their order is irrelevant."""
     return compute_digest("".join(sorted(chunks)))
 
 
@@ -142,25 +142,25 @@
 
 
 def decode_manifest(value: object) -> Manifest:
-    """Return the manifest of a JSON value.
+    """Return the manifest that a JSON value represents.
 
     Raises
     ------
     ChunkError
-        If it is not the value of a manifest.
+        If the value is not a valid manifest.
     """
     try:
-        return _read_manifest(value)
+        return _parse_manifest(value)
     except (KeyError, TypeError) as error:
-        raise ChunkError(f"not a manifest: {error!r}") from error
+        raise ChunkError(f"invalid manifest: {error!r}") from error
 
 
 def split_document(document: Document) -> dict[str, str]:
     """Return a document's chunks by digest.
 
-    Entries are divided by the bits of the hash of their kind and name until a part is
-    small enough. The division depends on nothing else, so a change of one entry
-    changes one chunk, unless that chunk grows over the limit or two shrink below it.
+    Entries are split by the bits of the hash of their kind and name until each chunk is
+    small enough. The split depends on nothing else, so a change of one entry changes
+    one chunk, unless that chunk grows above the limit or two shrink below it.
 
     Parameters
     ----------
@@ -176,7 +176,7 @@
         (_hash_entry(entry), json.dumps(entry, sort_keys=True, separators=(",", ":")))
         for entry in list_entries(document)
     ]
-    texts = ["[" + ",".join(group) + "]" for group in _divide(entries, 0)]
+    texts = ["[" + ",".join(group) + "]" for group in _split_by_hash(entries, 0)]
     return {compute_digest(text): text for text in texts}
 
 
@@ -185,7 +185,7 @@
     return hashlib.sha256(text.encode()).hexdigest()
 
 
-def read_chunk(digest: str, text: str) -> tuple[Entry, ...]:
+def parse_chunk(digest: str, text: str) -> tuple[Entry, ...]:
     """Return the entries of a chunk.
 
     Raises
@@ -194,7 +194,7 @@
         If the text does not have the digest or is not a chunk.
     """
     if compute_digest(text) != digest:
-        raise ChunkError(f"chunk {digest[:12]} has other content than its digest says")
+        raise ChunkError(f"chunk {digest[:12]} does not match its digest")
     try:
         entries = tuple((str(kind), dict(entry)) for kind, entry in json.loads(text))
     except (TypeError, ValueError) as error:
@@ -208,23 +208,23 @@
 
 
 def decode_chunk(value: object) -> str:
-    """Return the text of a platform object's value; empty if it is none."""
+    """Return the text in a platform object's value; empty if it contains none."""
     text = value.get("text") if isinstance(value, dict) else None
     return text if isinstance(text, str) else ""
 
 
-def join_entries(entries: Iterable[Entry]) -> dict[str, list[dict[str, Any]]]:
-    """Return entries in the form of a parsed text, sorted by name."""
-    content: dict[str, list[dict[str, Any]]] = {kind: [] for kind in PART_KINDS}
+def group_entries(entries: Iterable[Entry]) -> dict[str, list[dict[str, Any]]]:
+    """Group entries by kind as in parsed TOML, sorted by name."""
+    tables: dict[str, list[dict[str, Any]]] = {kind: [] for kind in PART_KINDS}
     for kind, entry in entries:
-        content.setdefault(kind, []).append(entry)
-    for parts in content.values():
+        tables.setdefault(kind, []).append(entry)
+    for parts in tables.values():
         parts.sort(key=lambda entry: str(entry.get("name")))
-    return content
+    return tables
 
 
 def list_entries(document: Document) -> Iterator[Entry]:
-    """Yield every part of a document in the form of the operators' text."""
+    """Yield every part of a document as in the configuration file."""
     for owner in document.owners.values():
         yield "owner", encode_part(owner)
     for organisation in document.organisations.values():
@@ -236,7 +236,7 @@
 
 
 def encode_part(part: Owner | Organisation | Database | Service) -> dict[str, Any]:
-    """Return one part with the keys of the operators' text."""
+    """Return one part with the keys of the configuration file."""
     if isinstance(part, Database):
         entry = attrs.asdict(part)
         entry["member"] = list(entry.pop("members"))
@@ -266,26 +266,28 @@
 def _hash_entry(entry: Entry) -> int:
     kind, part = entry
     name = f"{kind}\0{part['name']}".encode()
-    return int.from_bytes(hashlib.sha256(name).digest()[: MAX_DEPTH // 8], "big")
+    return int.from_bytes(hashlib.sha256(name).digest()[: MAX_SPLIT_DEPTH // 8], "big")
 
 
-def _divide(entries: list[tuple[int, str]], depth: int) -> Iterator[list[str]]:
-    size = sum(len(text) + 1 for _, text in entries)
-    if size <= MAX_CHUNK_BYTES or len(entries) == 1 or depth == MAX_DEPTH:
+def _split_by_hash(entries: list[tuple[int, str]], depth: int) -> Iterator[list[str]]:
+    size_bytes = sum(len(text) + 1 for _, text in entries)
+    if size_bytes <= MAX_CHUNK_BYTES or len(entries) == 1 or depth == MAX_SPLIT_DEPTH:
         if entries:
             yield sorted(text for _, text in entries)
         return
-    bit = 1 << (MAX_DEPTH - 1 - depth)
-    yield from _divide([entry for entry in entries if not entry[0] & bit], depth + 1)
-    yield from _divide([entry for entry in entries if entry[0] & bit], depth + 1)
+    bit = 1 << (MAX_SPLIT_DEPTH - 1 - depth)
+    yield from _split_by_hash(
+        [entry for entry in entries if not entry[0] & bit], depth + 1
+    )
+    yield from _split_by_hash([entry for entry in entries if entry[0] & bit], depth + 1)
 
 
-def _read_manifest(value: Any) -> Manifest:
+def _parse_manifest(value: Any) -> Manifest:
     revision, chunks = value["revision"], value["chunks"]
     if not isinstance(revision, int) or revision < 1:
-        raise TypeError(f"revision {revision!r}")
+        raise TypeError(f"invalid revision {revision!r}")
     if not all(isinstance(digest, str) for digest in chunks):
-        raise TypeError("chunks are not texts")
+        raise TypeError("chunk digests are not strings")
     history = tuple(
         AppliedChange(
             change["revision"],
--- a/src/radishtrack/config/document.py
+++ b/src/radishtrack/config/document.py
@@ -1,4 +1,4 @@
-"""The operators' configuration as a whole, with look-ups in constant time."""
+"""The validated configuration, with route look-ups in constant time."""
 
 from __future__ import annotations
 
@@ -30,16 +30,16 @@
 
 @attrs.define(frozen=True)
 class ConfigError:
-    """One fault in the operators' text.
+    """An error in a configuration file.
 
     Parameters
     ----------
     file : str
-        Name of the text.
+        Name of the file.
     line : int
         Line of the key or table, counted from 1.
     reason : str
-        What is wrong, and what would be accepted.
+        What was expected and what was found.
     """
 
     file: str
@@ -52,7 +52,7 @@
 
 @attrs.define(frozen=True)
 class Source:
-    """One text and the name of the file that it comes from."""
+    """The name and text of a configuration file."""
 
     file: str
     text: str
@@ -60,12 +60,12 @@
 
 @attrs.define(frozen=True)
 class _Origin:
-    """Where an entry of a joined configuration comes from."""
+    """Origin of an entry in a configuration of several files."""
 
     file: str
     lines: Mapping[KeyPath, int]
     index: int
-    """Place of the entry among those of its kind in the file."""
+    """Index of the entry among those of its kind in the file."""
 
 
 DocumentResult = Result["Document", tuple[ConfigError, ...]]
@@ -73,9 +73,9 @@
 
 @attrs.define(frozen=True, eq=False)
 class Document:
-    """A valid configuration; it never changes.
+    """A valid, immutable configuration.
 
-    The mappings are in the order of the text and keyed by name.
+    The mappings are keyed by name, in the order of the input.
     """
 
     owners: Mapping[str, Owner]
@@ -101,9 +101,9 @@
         Returns
         -------
         Route or None
-            None if the database is unknown or a table has no route. Tables of several
-            routes get the strictest read class of them, and are open only if all are.
-            A statement without tables gets a route that is not open.
+            None if the database is unknown or a table has no route. For tables of
+            several routes, the result has their strictest read class, and is open only
+            if all of them are. For a statement without tables, it is not open.
         """
         routes = []
         for table in tables:
@@ -129,7 +129,7 @@
     databases: Iterable[Database],
     services: Iterable[Service],
 ) -> Document:
-    """Return a document with its indices; the parts must be valid together."""
+    """Return a document of parts that were validated together."""
     services = tuple(services)
     return Document(
         owners=MappingProxyType({part.name: part for part in owners}),
@@ -148,64 +148,66 @@
 
 
 def parse_document(text: str, file: str) -> DocumentResult:
-    """Read and validate the operators' text.
+    """Parse and validate one configuration file.
 
     Parameters
     ----------
     text : str
         The TOML text.
     file : str
-        Name of the text, for errors.
+        Name of the file, for error messages.
 
     Returns
     -------
     Result
-        The document, or every error that the text has.
+        The document, or all errors.
     """
     return parse_sources([Source(file, text)])
 
 
 def parse_sources(sources: Sequence[Source]) -> DocumentResult:
-    """Read and validate several texts that together are one configuration.
+    """Parse and validate several files that together form one configuration.
 
     Parameters
     ----------
     sources : sequence of Source
-        The texts, for example one of each owner.
+        The files, for example one per owner.
 
     Returns
     -------
     Result
-        The document, or every error with the file and line where it is.
+        The document, or all errors with their files and lines.
     """
-    contents: dict[str, list[Any]] = {}
+    merged: dict[str, list[Any]] = {}
     errors: list[ConfigError] = []
     problems: list[Problem] = []
     origins: dict[str, list[_Origin]] = {}
     for source in sources:
         try:
-            content = tomllib.loads(source.text)
+            tables = tomllib.loads(source.text)
         except tomllib.TOMLDecodeError as error:
             line = find_error_line(str(error), source.text)
             errors.append(ConfigError(source.file, line, f"expected TOML: {error}"))
             continue
         lines = index_lines(source.text)
-        for key, value in content.items():
+        for key, value in tables.items():
             if key in PART_KINDS and not isinstance(value, list):
                 line = find_line(lines, (key,))
-                reason = f"{key}: expected tables headed [[{key}]], found one value"
+                reason = (
+                    f"{key}: expected tables headed [[{key}]], found a single value"
+                )
                 errors.append(ConfigError(source.file, line, reason))
             items = value if isinstance(value, list) else [value]
-            contents.setdefault(key, []).extend(items)
+            merged.setdefault(key, []).extend(items)
             origins.setdefault(key, []).extend(
                 _Origin(source.file, lines, index) for index in range(len(items))
             )
     if errors:
         return Error(tuple(errors))
-    parts = read_parts(contents, problems)
+    parts = read_parts(merged, problems)
     if problems:
-        found = (_locate_problem(problem, origins) for problem in problems)
-        return Error(tuple(sorted(found, key=lambda error: (error.file, error.line))))
+        located = (_locate_problem(problem, origins) for problem in problems)
+        return Error(tuple(sorted(located, key=lambda error: (error.file, error.line))))
     return Ok(
         make_document(
             parts.owners, parts.organisations, parts.databases, parts.services
--- a/src/radishtrack/config/model.py
+++ b/src/radishtrack/config/model.py
@@ -8,21 +8,21 @@
 import attrs
 
 PART_KINDS: Final = ("owner", "organisation", "database", "service")
-"""Headings of the operators' text."""
+"""Names of the arrays of tables in a configuration file."""
 
 READ_STATEMENT: Final = "select"
 WRITE_STATEMENTS: Final = ("insert", "update", "delete", "replace")
 STATEMENTS: Final = (READ_STATEMENT, *WRITE_STATEMENTS)
 
 ANY_TABLE: Final = "*"
-"""A route for every table of its database that no other route names."""
+"""Stands for every table of the database that no other route names."""
 
 RouteKey = tuple[str, str, bool]
 """Database, table, and whether the statement is a read."""
 
 
 class ReadClass(enum.Enum):
-    """How current a read must be."""
+    """The consistency that a read requires."""
 
     STRICT = "strict"
     SESSION = "session"
@@ -31,7 +31,7 @@
 
 @attrs.define(frozen=True)
 class Owner:
-    """A body that pays a share of the proxy layer and audits the others'."""
+    """A party that pays a share of the proxy layer and audits the other shares."""
 
     name: str
 
@@ -47,7 +47,7 @@
     owner : str
         The owner that pays for its usage.
     rate : float
-        Statements a second across the whole fleet.
+        Statements per second across the whole fleet.
     burst : int
         Statements that may be admitted at once after a pause.
     """
@@ -85,7 +85,7 @@
     slots : int
         Number of nodes that may hold connections to it at once.
     connections : int
-        Connections that it accepts, over all holders.
+        Maximum number of connections to it, over all holders.
     members : tuple of Member
         Its servers.
     """
@@ -105,7 +105,7 @@
 
 @attrs.define(frozen=True)
 class Route:
-    """What may be done with some tables of a service's database.
+    """The access that a service offers to some tables of its database.
 
     Parameters
     ----------
@@ -118,7 +118,7 @@
     tables : tuple of str
         Tables, spelled as in the database, or ``*`` for all that no other route names.
     read_class : ReadClass
-        The class of reads for which the client specifies none.
+        Read class if the client specifies none.
     max_age_ms : int
         Accepted age in milliseconds; 0 unless the class is aged.
     open : bool
@@ -141,12 +141,12 @@
 
     @property
     def label(self) -> str:
-        """The route's name within the document: ``service/route``."""
+        """Unique name within the document: ``service/route``."""
         return f"{self.service}/{self.name}"
 
     @property
     def keys(self) -> list[RouteKey]:
-        """What the route answers for."""
+        """The keys under which the route is indexed."""
         kinds = {statement == READ_STATEMENT for statement in self.statements}
         return [
             (self.database, table, is_read)
--- a/src/radishtrack/config/render.py
+++ b/src/radishtrack/config/render.py
@@ -1,4 +1,4 @@
-"""Writes a configuration as the operators' text."""
+"""Renders a configuration as TOML."""
 
 from __future__ import annotations
 
@@ -22,7 +22,8 @@
     yield f"[[{heading}]]"
     for key, value in table.items():
         if not _is_array_of_tables(value):
-            # Text, numbers, flags and lists of text are written alike in JSON and TOML.
+            # Strings, numbers, booleans and lists of strings have the same syntax in
+            # JSON and TOML.
             yield f"{key} = {json.dumps(value)}"
     for key, value in table.items():
         if _is_array_of_tables(value):
--- a/src/radishtrack/config/state.py
+++ b/src/radishtrack/config/state.py
@@ -1,4 +1,4 @@
-"""A node's configuration: only moves to a higher valid revision."""
+"""The configuration in force at a node, replaced only by higher valid revisions."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
     Manifest,
     decode_manifest,
     encode_manifest,
-    join_entries,
-    read_chunk,
+    group_entries,
+    parse_chunk,
 )
 from radishtrack.config.document import Document, make_document
 from radishtrack.events import Event, log_event
@@ -34,14 +34,14 @@
 
 @attrs.define(frozen=True)
 class Stale:
-    """The revision is not higher than the one in force, so nothing changed."""
+    """The revision is not higher than the one in force, which stays."""
 
     revision: int
 
 
 @attrs.define(frozen=True)
 class Rejected:
-    """The revision is not usable; the one in force stays."""
+    """The revision is invalid; the one in force stays."""
 
     revision: int
     reason: str
@@ -59,9 +59,9 @@
     texts: dict[str, str] = attrs.field(factory=dict)
     """Chunks of the revision in force, by digest."""
     parts: dict[str, Parts] = attrs.field(factory=dict)
-    """The same chunks, read. A change costs reading one chunk, not all."""
+    """The same chunks, parsed; a change then requires parsing only new chunks."""
     rejected: int = 0
-    """The last rejected revision, which is reported once."""
+    """The last rejected revision, so that it is logged only once."""
 
     @property
     def revision(self) -> int:
@@ -73,14 +73,14 @@
         return tuple(digest for digest in manifest.chunks if digest not in self.texts)
 
     def accept(self, manifest: Manifest, chunks: Mapping[str, str]) -> AcceptResult:
-        """Put a revision into force if it is higher and valid.
+        """Bring a revision into force if it is higher and valid.
 
         Parameters
         ----------
         manifest : Manifest
             The revision.
         chunks : mapping
-            Texts by digest, at least those that `find_missing` named.
+            Texts by digest, at least those that `find_missing` returned.
         """
         if manifest.revision <= self.revision:
             return Stale(manifest.revision)
@@ -90,7 +90,7 @@
         }
         try:
             parts = {
-                digest: self.parts.get(digest) or _read_chunk_parts(digest, text)
+                digest: self.parts.get(digest) or _parse_chunk_parts(digest, text)
                 for digest, text in texts.items()
             }
             document = _join_document(parts.values())
@@ -112,16 +112,16 @@
         return seal_copy(COPY_KIND, value, secret)
 
     def accept_copies(self, copies: Iterable[bytes], secret: str) -> AcceptResult:
-        """Take the highest authentic and valid revision among peers' copies."""
+        """Accept the highest authentic and valid revision among peers' copies."""
         opened = [open_copy(COPY_KIND, data, secret) for data in copies]
-        found = [value for value in opened if value is not None]
-        if len(found) < len(opened):
+        authentic = [value for value in opened if value is not None]
+        if len(authentic) < len(opened):
             log_event(
-                Event.COPY_REJECTED, kind=COPY_KIND, copies=len(opened) - len(found)
+                Event.COPY_REJECTED, kind=COPY_KIND, copies=len(opened) - len(authentic)
             )
-        found.sort(key=lambda value: _get_revision(value), reverse=True)
+        authentic.sort(key=lambda value: _get_revision(value), reverse=True)
         result: AcceptResult = Stale(self.revision)
-        for value in found:
+        for value in authentic:
             try:
                 manifest = decode_manifest(value.get("manifest"))
             except ChunkError as error:
@@ -153,7 +153,7 @@
 
 
 def build_document(chunks: Mapping[str, str]) -> Document:
-    """Return the document that chunks hold.
+    """Return the document that chunks contain.
 
     Parameters
     ----------
@@ -166,34 +166,34 @@
         If a chunk is damaged or the document is not valid.
     """
     return _join_document(
-        _read_chunk_parts(digest, text) for digest, text in chunks.items()
+        _parse_chunk_parts(digest, text) for digest, text in chunks.items()
     )
 
 
-def _read_chunk_parts(digest: str, text: str) -> Parts:
+def _parse_chunk_parts(digest: str, text: str) -> Parts:
     problems: list[Problem] = []
-    content = join_entries(read_chunk(digest, text))
-    parts = read_single_parts(content, problems)
-    _refuse_problems(problems)
+    tables = group_entries(parse_chunk(digest, text))
+    parts = read_single_parts(tables, problems)
+    _raise_first_problem(problems)
     return parts
 
 
-def _join_document(several: Iterable[Parts]) -> Document:
+def _join_document(chunk_parts: Iterable[Parts]) -> Document:
     problems: list[Problem] = []
-    parts = join_parts(several)
+    parts = join_parts(chunk_parts)
     check_parts(parts, problems)
-    _refuse_problems(problems)
+    _raise_first_problem(problems)
     return make_document(
         parts.owners, parts.organisations, parts.databases, parts.services
     )
 
 
-def _refuse_problems(problems: list[Problem]) -> None:
+def _raise_first_problem(problems: list[Problem]) -> None:
     if problems:
         first = problems[0]
         raise ChunkError(
             f"{first.key}: expected {first.expected}, found {first.found}"
-            f" ({len(problems)} faults in all)"
+            f" ({len(problems)} problems in total)"
         )
 
 
--- a/src/radishtrack/config/store.py
+++ b/src/radishtrack/config/store.py
@@ -1,4 +1,4 @@
-"""Applies a configuration to the platform against the revision the operator saw."""
+"""Stores configurations on the platform, with optimistic concurrency control."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     AppliedChange,
     ChunkError,
     Manifest,
-    compute_content,
+    compute_chunk_list_digest,
     decode_chunk,
     decode_manifest,
     encode_chunk,
@@ -35,7 +35,7 @@
 
 
 class WriteResult(enum.Enum):
-    """What is known about a conditional write."""
+    """Result of a conditional write; unknown if the response was lost."""
 
     WRITTEN = "written"
     CONFLICT = "conflict"
@@ -51,16 +51,16 @@
 
 
 class StoreUnavailable(Exception):
-    """Raised if the platform does not answer a read."""
+    """Raised if the platform does not respond, or all attempts to write fail."""
 
 
 class ApplyMismatch(ValueError):
-    """Raised if an attempt is repeated with another content."""
+    """Raised if an attempt is repeated with a different configuration."""
 
 
 @attrs.define(frozen=True)
 class ObjectStore:
-    """The platform operations that applying needs.
+    """The platform operations for reading and writing objects.
 
     Parameters
     ----------
@@ -69,7 +69,7 @@
     put : callable
         Takes kind, name, value and expected version (0: must not exist).
     retry_pause_ms : float
-        Pause after a write without an answer, in milliseconds.
+        Pause before a write is retried, in milliseconds.
     """
 
     get: Callable[[str, str], Awaitable[StoredObject | None]]
@@ -79,7 +79,7 @@
 
 @attrs.define(frozen=True)
 class Revision:
-    """The configuration that the platform holds; revision 0 is the empty one."""
+    """The stored configuration; revision 0 is empty."""
 
     manifest: Manifest
     version: int
@@ -89,7 +89,7 @@
 
 @attrs.define(frozen=True)
 class Applied:
-    """The configuration is stored as this revision."""
+    """The configuration was stored as this revision."""
 
     revision: int
     changes: tuple[str, ...]
@@ -109,11 +109,11 @@
     Parameters
     ----------
     seen : int
-        The revision that this operator saw.
+        The revision on which this operator's change is based.
     present : int
-        The revision that is stored now.
+        The revision that is stored.
     winners : tuple of AppliedChange
-        Who changed what since then, as far as it is kept.
+        The changes since `seen` that are still in the history.
     """
 
     seen: int
@@ -123,7 +123,7 @@
 
 @attrs.define(frozen=True)
 class Unresolved:
-    """The platform stopped answering, so it is not known whether it was stored."""
+    """The platform stopped responding; the configuration may be stored or not."""
 
     apply_id: str
 
@@ -137,7 +137,7 @@
     Raises
     ------
     StoreUnavailable
-        If the platform does not answer.
+        If the platform does not respond.
     ChunkError
         If a chunk is missing or damaged, or the document is not valid.
     """
@@ -154,7 +154,7 @@
     author: str,
     apply_id: str,
 ) -> ApplyResult:
-    """Store a valid document as the revision after the one that the operator saw.
+    """Store a valid document as the revision after `seen`.
 
     Parameters
     ----------
@@ -163,80 +163,80 @@
     document : Document
         The new configuration.
     seen : int
-        The revision that the operator's text is based on; 0 if there is none yet.
+        The revision on which the document is based; 0 if there is none yet.
     author : str
         The operator.
     apply_id : str
         Unique identifier of this attempt. Applying again with the same identifier
-        resolves an attempt whose answer was lost.
+        tells whether an attempt whose response was lost took effect.
 
     Raises
     ------
     StoreUnavailable
-        If the platform does not answer before anything was written.
+        If the platform does not respond before the manifest is written.
     ApplyMismatch
-        If an attempt with the same identifier applied another content.
+        If an attempt with the same identifier applied a different configuration.
     """
     present = await fetch_revision(store)
     manifest = present.manifest
     chunks = split_document(document)
-    if done := manifest.find_apply(apply_id):
-        if done.content != compute_content(chunks):
+    if applied := manifest.find_attempt(apply_id):
+        if applied.content != compute_chunk_list_digest(chunks):
             raise ApplyMismatch(
-                f"attempt {apply_id} applied another content as revision "
-                f"{done.revision} by {done.author}"
+                f"attempt {apply_id} applied a different configuration as revision "
+                f"{applied.revision} by {applied.author}"
             )
-        return Applied(done.revision, done.changes)
+        return Applied(applied.revision, applied.changes)
     if manifest.revision != seen:
-        return _lose_race(seen, manifest)
+        return _make_lost_race(seen, manifest)
     if set(chunks) == set(manifest.chunks):
         return Unchanged(manifest.revision)
     for digest in sorted(set(chunks) - set(manifest.chunks)):
         if not await _write_chunk(store, digest, chunks[digest]):
-            raise StoreUnavailable("the platform did not take the chunks")
+            raise StoreUnavailable("the platform did not confirm the write of a chunk")
     changes = render_changes(diff_documents(present.document, document))
-    following = make_next_manifest(
+    next_manifest = make_next_manifest(
         manifest, chunks, apply_id=apply_id, author=author, changes=changes
     )
-    return await _write_manifest(store, following, present)
+    return await _write_manifest(store, next_manifest, present)
 
 
 async def _write_manifest(
-    store: ObjectStore, manifest: Manifest, seen: Revision
+    store: ObjectStore, manifest: Manifest, base: Revision
 ) -> ApplyResult:
-    """Write until the answer is definite: the condition lets it succeed only once."""
+    """Retry until the result is known; the condition lets the write succeed once."""
     value = encode_manifest(manifest)
     for _ in range(WRITE_ATTEMPTS):
-        result = await store.put(MANIFEST_KIND, MANIFEST_NAME, value, seen.version)
+        result = await store.put(MANIFEST_KIND, MANIFEST_NAME, value, base.version)
         if result is WriteResult.WRITTEN:
             return Applied(manifest.revision, manifest.history[-1].changes)
         if result is WriteResult.CONFLICT:
-            return await _resolve_conflict(store, manifest, seen)
+            return await _resolve_conflict(store, manifest, base)
         await asyncio.sleep(store.retry_pause_ms / SECOND_MS)
     return Unresolved(manifest.apply_id)
 
 
 async def _resolve_conflict(
-    store: ObjectStore, manifest: Manifest, seen: Revision
+    store: ObjectStore, manifest: Manifest, base: Revision
 ) -> ApplyResult:
-    """Tell a lost answer of this attempt from another operator's change."""
+    """Distinguish a lost response to this attempt from another operator's change."""
     try:
         present, _ = await _fetch_manifest(store)
     except StoreUnavailable:
         return Unresolved(manifest.apply_id)
-    done = present.find_apply(manifest.apply_id)
-    if done is not None:
-        return Applied(done.revision, done.changes)
-    return _lose_race(seen.manifest.revision, present)
+    applied = present.find_attempt(manifest.apply_id)
+    if applied is not None:
+        return Applied(applied.revision, applied.changes)
+    return _make_lost_race(base.manifest.revision, present)
 
 
-def _lose_race(seen: int, present: Manifest) -> LostRace:
+def _make_lost_race(seen: int, present: Manifest) -> LostRace:
     winners = (change for change in present.history if change.revision > seen)
     return LostRace(seen, present.revision, tuple(winners))
 
 
 async def _write_chunk(store: ObjectStore, digest: str, text: str) -> bool:
-    """Create a chunk; a conflict means that the same content is there already."""
+    """Create a chunk; a conflict means that the same chunk exists already."""
     for _ in range(WRITE_ATTEMPTS):
         result = await store.put(CHUNK_KIND, digest, encode_chunk(text), 0)
         if result is not WriteResult.UNKNOWN:
@@ -246,14 +246,14 @@
 
 
 async def _fetch_manifest(store: ObjectStore) -> tuple[Manifest, int]:
-    found = await store.get(MANIFEST_KIND, MANIFEST_NAME)
-    if found is None or found.value is None:
+    stored = await store.get(MANIFEST_KIND, MANIFEST_NAME)
+    if stored is None or stored.value is None:
         return EMPTY_MANIFEST, 0
-    return decode_manifest(found.value), found.version
+    return decode_manifest(stored.value), stored.version
 
 
 async def _fetch_chunk(store: ObjectStore, digest: str) -> str:
-    found = await store.get(CHUNK_KIND, digest)
-    if found is None:
+    stored = await store.get(CHUNK_KIND, digest)
+    if stored is None:
         raise ChunkError(f"chunk {digest[:12]} is missing")
-    return decode_chunk(found.value)
+    return decode_chunk(stored.value)
--- a/src/radishtrack/keys/__init__.py
+++ b/src/radishtrack/keys/__init__.py
@@ -1,1 +1,1 @@
-"""Organisations' keys: issue, verify, revoke and the freshness of a node's copy."""
+"""Organisations' keys: issue, verification, revocation and freshness of the copy."""
--- a/src/radishtrack/routing/__init__.py
+++ b/src/radishtrack/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Statement classification, request options and the choice of a member."""
+"""Statement classification, request options and selection of a member."""
--- a/tests/memory_store.py
+++ b/tests/memory_store.py
@@ -1,4 +1,4 @@
-"""An in-memory platform with faults on chosen writes."""
+"""An in-memory platform that injects faults into writes."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
 
 class MemoryPlatform:
-    """Objects with versions; faults are taken one by one for manifest writes.
+    """Versioned objects; each write except of chunks consumes one of the faults.
 
-    Faults: ``ok``, ``lost request`` (no effect, no answer), ``lost answer`` (effect, no
-    answer), ``late`` (no answer, effect before the next call).
+    Faults: ``ok``, ``lost request`` (no effect, no response), ``lost answer`` (effect,
+    no response), ``late`` (no response, effect before the next call).
     """
 
     def __init__(self, faults: Iterable[str] = ()) -> None:
         self.objects: dict[tuple[str, str], StoredObject] = {}
         self.faults = list(faults)
-        self.late: list[Callable[[], object]] = []
+        self.late_writes: list[Callable[[], object]] = []
         self.written_kinds: list[str] = []
         self.is_down = False
 
     def write(self, kind: str, name: str, value: Any, expected: int) -> bool:
-        """Write if the version is the expected one."""
-        found = self.objects.get((kind, name))
-        if (found.version if found else 0) != expected:
+        """Write if the object has the expected version."""
+        stored = self.objects.get((kind, name))
+        if (stored.version if stored else 0) != expected:
             return False
         version = 1 + max((item.version for item in self.objects.values()), default=0)
         self.objects[kind, name] = StoredObject(version, value)
@@ -38,15 +38,15 @@
         return True
 
     def make_store(self) -> ObjectStore:
-        """Return the operations that the product uses."""
+        """Return the store operations on this platform."""
         return ObjectStore(self._get, self._put, retry_pause_ms=0.0)
 
-    def _settle(self) -> None:
-        while self.late:
-            self.late.pop(0)()
+    def _apply_late_writes(self) -> None:
+        while self.late_writes:
+            self.late_writes.pop(0)()
 
     async def _get(self, kind: str, name: str) -> StoredObject | None:
-        self._settle()
+        self._apply_late_writes()
         if self.is_down:
             raise StoreUnavailable("the platform is down")
         return self.objects.get((kind, name))
@@ -56,9 +56,9 @@
     ) -> WriteResult:
         fault = self.faults.pop(0) if self.faults and kind != "config-chunk" else "ok"
         if fault == "late":
-            self.late.append(lambda: self.write(kind, name, value, expected))
+            self.late_writes.append(lambda: self.write(kind, name, value, expected))
             return WriteResult.UNKNOWN
-        self._settle()
+        self._apply_late_writes()
         if self.is_down or fault == "lost request":
             return WriteResult.UNKNOWN
         written = self.write(kind, name, value, expected)
--- a/tests/test_config_document.py
+++ b/tests/test_config_document.py
@@ -1,4 +1,4 @@
-"""Guards that the operators' text is validated whole, and the look-up of routes."""
+"""Parsing and validation of configuration files, and the look-up of routes."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 ]
 
 
-def line_of(text: str, part: str) -> int:
+def find_line(text: str, part: str) -> int:
     return text[: text.index(part)].count("\n") + 1
 
 
@@ -39,7 +39,7 @@
     assert len(parse_valid(source.text).organisations) == 8
 
 
-def test_the_examples_have_the_sizes_of_the_design() -> None:
+def test_the_examples_have_the_documented_sizes() -> None:
     databases = parse_sources(SOURCES).ok.databases
     sizes = {
         name: (part.slots, part.connections, len(part.members), part.region)
@@ -50,7 +50,7 @@
     assert databases["strekk-db"].connections_per_slot == 7
 
 
-BAD_INPUTS = [
+INVALID_EDITS = [
     ('owner = "fjellsko"', 'owner = "fjelsko"', "did you mean 'fjellsko'?"),
     ("rate = 400", "rate = 0", "a number above 0"),
     ("rate = 400", 'rate = "400"', "found text '400'"),
@@ -78,16 +78,16 @@
 ]
 
 
-@pytest.mark.parametrize(("old", "new", "reason"), BAD_INPUTS)
-def test_a_fault_is_reported_with_file_line_and_reason(
+@pytest.mark.parametrize(("old", "new", "reason"), INVALID_EDITS)
+def test_an_error_is_reported_with_file_line_and_reason(
     old: str, new: str, reason: str
 ) -> None:
     text = VALID.replace(old, new, 1)
     errors = parse_document(text, "f.toml").error
-    found = [error for error in errors if reason in error.reason]
-    assert found, [str(error) for error in errors]
-    assert found[0].file == "f.toml"
-    assert found[0].line == line_of(VALID, old)
+    matching = [error for error in errors if reason in error.reason]
+    assert matching, [str(error) for error in errors]
+    assert matching[0].file == "f.toml"
+    assert matching[0].line == find_line(VALID, old)
 
 
 @pytest.mark.parametrize(
@@ -102,19 +102,21 @@
         ("owner = [1]", 1, "expected a table"),
     ],
 )
-def test_texts_of_another_shape_are_refused(text: str, line: int, reason: str) -> None:
+def test_files_of_wrong_structure_are_rejected(
+    text: str, line: int, reason: str
+) -> None:
     errors = parse_document(text, "f.toml").error
     assert (errors[0].line, reason in errors[0].reason) == (line, True), errors
 
 
-def test_fewer_than_three_members_are_refused() -> None:
+def test_fewer_than_three_members_are_rejected() -> None:
     start = VALID.index("[[database.member]]")
     text = VALID[:start] + VALID[VALID.index("[[service]]") :]
     (error,) = parse_document(text, "f.toml").error
     assert "3 to 9 members, found 0" in error.reason
 
 
-def test_a_cycle_is_named_once_with_all_its_services() -> None:
+def test_a_cycle_is_reported_once_with_all_its_services() -> None:
     parts = [("a", "b"), ("b", "c"), ("c", "a"), ("d", "a")]
     text = VALID + "".join(
         f'[[service]]\nname = "{name}"\ndatabase = "strekk-db"\ndepends_on = ["{to}"]\n'
@@ -122,25 +124,25 @@
     )
     (error,) = parse_document(text, "f.toml").error
     assert "the cycle a -> b -> c -> a" in error.reason
-    assert error.line == line_of(text, 'depends_on = ["a"]')
+    assert error.line == find_line(text, 'depends_on = ["a"]')
 
 
-def test_all_faults_of_all_files_are_reported_with_their_own_lines() -> None:
+def test_all_errors_of_all_files_are_reported_with_their_own_lines() -> None:
     second = SOURCES[1].text.replace("slots = 3", "slots = 0")
     first = SOURCES[0].text.replace("slots = 2", "slots = 0")
     errors = parse_sources([Source("a", first), Source("b", second)]).error
-    places = [(error.file, error.line) for error in errors]
-    assert places == [
-        ("a", line_of(first, "slots = 0")),
-        ("b", line_of(second, "slots = 0")),
+    locations = [(error.file, error.line) for error in errors]
+    assert locations == [
+        ("a", find_line(first, "slots = 0")),
+        ("b", find_line(second, "slots = 0")),
     ]
 
 
 def test_a_rendered_document_parses_to_an_equal_one() -> None:
     document = parse_sources(SOURCES).ok
-    again = parse_valid(render_document(document))
+    parsed = parse_valid(render_document(document))
     for field in attrs.fields(Document):
-        assert getattr(again, field.name) == getattr(document, field.name)
+        assert getattr(parsed, field.name) == getattr(document, field.name)
 
 
 ROUTES = (
@@ -194,7 +196,7 @@
     assert route.open is is_open
 
 
-def test_an_open_route_gives_nothing_beyond_its_own_tables() -> None:
+def test_an_open_route_gives_access_only_to_its_own_tables() -> None:
     document = parse_valid(VALID)
     assert document.find_route("strekk-db", ["opening_hours"], False) is None
     assert document.find_route("strekk-db", ["unheard"], True) is None
--- a/tests/test_config_store.py
+++ b/tests/test_config_store.py
@@ -1,4 +1,4 @@
-"""Guards that racing operators and lost answers never lose or repeat a change."""
+"""Concurrent operators and lost responses neither lose nor repeat a change."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     MAX_CHUNK_BYTES,
     AppliedChange,
     ChunkError,
-    compute_content,
+    compute_chunk_list_digest,
     decode_manifest,
     split_document,
 )
@@ -87,39 +87,39 @@
     assert result.revision == 1
     assert "added owner o" in result.changes
     assert await fetch_rate(store) == 5
-    again = await apply_rate(store, 5, seen=1, author="kari", apply_id="other")
-    assert again == Unchanged(1)
+    repeated = await apply_rate(store, 5, seen=1, author="kari", apply_id="other")
+    assert repeated == Unchanged(1)
 
 
-async def test_the_loser_learns_the_winners_author_and_changes() -> None:
+async def test_a_lost_race_reports_the_winners_author_and_changes() -> None:
     store = MemoryPlatform().make_store()
     await apply_rate(store, 1, seen=0, author="kari")
     await apply_rate(store, 2, seen=1, author="mari")
     change = "changed organisation org-0: rate 1 -> 2"
     result = await apply_rate(store, 3, seen=1, author="jaan")
-    content = compute_content(split_document(make_fleet(2)))
-    won = AppliedChange(2, "mari-2", "mari", (change,), content)
-    assert result == LostRace(1, 2, (won,))
+    digest = compute_chunk_list_digest(split_document(make_fleet(2)))
+    winner = AppliedChange(2, "mari-2", "mari", (change,), digest)
+    assert result == LostRace(1, 2, (winner,))
     assert await fetch_rate(store) == 2
 
 
-async def test_exactly_one_of_two_operators_at_the_same_moment_wins() -> None:
+async def test_exactly_one_of_two_concurrent_operators_wins() -> None:
     platform = MemoryPlatform()
     store = platform.make_store()
     await apply_rate(store, 1, seen=0, author="kari")
     both_read = asyncio.Barrier(2)
 
-    async def get_together(kind: str, name: str) -> StoredObject | None:
-        found = await store.get(kind, name)
-        if kind == "config" and found and found.version <= first_version:
+    async def get_after_both_read(kind: str, name: str) -> StoredObject | None:
+        stored = await store.get(kind, name)
+        if kind == "config" and stored and stored.version <= first_version:
             await both_read.wait()
-        return found
+        return stored
 
     first_version = platform.objects["config", "manifest"].version
-    together = attrs.evolve(store, get=get_together)
+    synchronised = attrs.evolve(store, get=get_after_both_read)
     results = await asyncio.gather(
-        apply_rate(together, 2, seen=1, author="mari"),
-        apply_rate(together, 3, seen=1, author="jaan"),
+        apply_rate(synchronised, 2, seen=1, author="mari"),
+        apply_rate(synchronised, 3, seen=1, author="jaan"),
     )
     assert sorted(type(result).__name__ for result in results) == [
         "Applied",
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize("faults", list(itertools.product(FAULTS, repeat=3)))
-async def test_a_lost_answer_is_resolved_and_applies_once(
+async def test_a_change_is_applied_once_despite_lost_responses(
     faults: tuple[str, ...],
 ) -> None:
     platform = MemoryPlatform(["ok", *faults])
@@ -145,7 +145,7 @@
     assert platform.written_kinds.count("config") == 2
 
 
-async def test_an_attempt_without_answers_is_resolved_by_running_it_again() -> None:
+async def test_an_attempt_without_responses_is_resolved_by_repeating_it() -> None:
     platform = MemoryPlatform(["lost answer"] + ["lost request"] * 4)
     store = platform.make_store()
     result = await apply_rate(store, 1, seen=0, author="kari", apply_id="a")
@@ -157,7 +157,7 @@
     assert await fetch_rate(store) == 2
 
 
-async def test_an_attempt_repeated_with_an_edited_file_is_refused() -> None:
+async def test_an_attempt_repeated_with_a_different_file_is_refused() -> None:
     store = MemoryPlatform().make_store()
     await apply_rate(store, 1, seen=0, author="kari", apply_id="a")
     with pytest.raises(ApplyMismatch, match="revision 1 by kari"):
@@ -170,19 +170,21 @@
     faults=st.lists(st.sampled_from(FAULTS), max_size=12),
     attempts=st.lists(st.integers(0, 4), min_size=2, max_size=6),
 )
-def test_every_reported_result_is_true(faults: list[str], attempts: list[int]) -> None:
-    """Operators who are behind lose; those told "applied" are in the history."""
+def test_reported_results_agree_with_the_history(
+    faults: list[str], attempts: list[int]
+) -> None:
+    """Operators with an old base lose the race; every applied change is recorded."""
 
     async def run() -> None:
         platform = MemoryPlatform(faults)
         store = platform.make_store()
         applied = []
         for number, behind in enumerate(attempts):
-            known = (await fetch_revision(store)).manifest.revision
-            seen = max(0, known - behind)
+            latest = (await fetch_revision(store)).manifest.revision
+            seen = max(0, latest - behind)
             result = await apply_rate(store, number + 1, seen=seen, author=f"{number}")
             if isinstance(result, Applied):
-                assert seen == known
+                assert seen == latest
                 applied.append((result.revision, f"{number}"))
         manifest = (await fetch_revision(store)).manifest
         history = [(change.revision, change.author) for change in manifest.history]
@@ -200,40 +202,40 @@
     await apply_rate(store, 1, seen=0, author="kari")
     key = next(key for key in platform.objects if key[0] == "config-chunk")
     platform.objects[key] = StoredObject(9, {"text": "[]"})
-    with pytest.raises(ChunkError, match="other content"):
+    with pytest.raises(ChunkError, match="does not match its digest"):
         await fetch_revision(store)
 
 
-def change_one(document: Document, name: str) -> Document:
+def change_database(document: Document, name: str) -> Document:
     databases = dict(document.databases)
     databases[name] = attrs.evolve(databases[name], connections=99)
     return attrs.evolve(document, databases=databases)
 
 
-def test_a_one_entry_change_touches_one_chunk() -> None:
+def test_a_change_of_one_entry_changes_one_chunk() -> None:
     document = make_fleet(databases=200, organisations=300)
     before = split_document(document)
-    touched = [
-        len(set(split_document(change_one(document, name))) - set(before))
+    changed_chunks = [
+        len(set(split_document(change_database(document, name))) - set(before))
         for name in list(document.databases)[:40]
     ]
-    # A chunk that grows over the limit is divided.
-    assert max(touched) <= 2
-    assert touched.count(1) >= 38
+    # A chunk that grows above the limit is split.
+    assert max(changed_chunks) <= 2
+    assert changed_chunks.count(1) >= 38
     sizes = [len(text) for text in before.values()]
     assert max(sizes) <= MAX_CHUNK_BYTES
     assert 3_000 <= sum(sizes) / len(sizes) <= 5_000
 
 
-def test_the_order_of_the_text_does_not_matter() -> None:
+def test_chunks_do_not_depend_on_the_order_of_entries() -> None:
     document = make_fleet(databases=20)
-    turned = attrs.evolve(
+    reordered = attrs.evolve(
         document, databases=dict(reversed(document.databases.items()))
     )
-    assert split_document(turned) == split_document(document)
+    assert split_document(reordered) == split_document(document)
 
 
-def test_the_difference_names_entries_and_values() -> None:
+def test_the_difference_lists_entries_and_values() -> None:
     before = make_fleet(rate=1, databases=2)
     database = before.databases["db-0"]
     members = (attrs.evolve(database.members[0], leaving=True), *database.members[1:2])
