--- a/src/radishtrack/config/_parse.py
+++ b/src/radishtrack/config/_parse.py
@@ -41,7 +41,7 @@
 
 MAX_MEMBERS: Final = 9
 MAX_PORT: Final = 65_535
-MAX_RATE: Final = 10_000_000
+MAX_RATE_PER_S: Final = 10_000_000
 MAX_BURST: Final = 10_000_000
 MAX_SLOTS: Final = 64
 MAX_CONNECTIONS: Final = 100_000
@@ -142,7 +142,7 @@
     organisation = Organisation(
         name=_read_name(table),
         owner=table.read_text("owner"),
-        rate=table.read_number("rate", above=0, high=MAX_RATE),
+        rate=table.read_number("rate", above=0, high=MAX_RATE_PER_S),
         burst=table.read_integer("burst", low=1, high=MAX_BURST),
     )
     if organisation.name == OPEN_USER:
--- a/src/radishtrack/config/chunk.py
+++ b/src/radishtrack/config/chunk.py
@@ -1,4 +1,4 @@
-"""Splits a configuration into content-addressed chunks, and its manifest."""
+"""Content-addressed chunks of a configuration, and the manifest that lists them."""
 
 from __future__ import annotations
 
--- a/src/radishtrack/config/store.py
+++ b/src/radishtrack/config/store.py
@@ -30,7 +30,7 @@
 MANIFEST_NAME: Final = "manifest"
 CHUNK_KIND: Final = "config-chunk"
 
-WRITE_ATTEMPTS: Final = 5
+MAX_WRITE_ATTEMPTS: Final = 5
 SECOND_MS: Final = 1_000.0
 
 
@@ -206,7 +206,7 @@
 ) -> ApplyResult:
     """Retry until the result is known; the condition lets the write succeed once."""
     value = encode_manifest(manifest)
-    for _ in range(WRITE_ATTEMPTS):
+    for _ in range(MAX_WRITE_ATTEMPTS):
         result = await store.put(MANIFEST_KIND, MANIFEST_NAME, value, base.version)
         if result is WriteResult.WRITTEN:
             return Applied(manifest.revision, manifest.history[-1].changes)
@@ -237,7 +237,7 @@
 
 async def _write_chunk(store: ObjectStore, digest: str, text: str) -> bool:
     """Create a chunk; a conflict means that the same chunk exists already."""
-    for _ in range(WRITE_ATTEMPTS):
+    for _ in range(MAX_WRITE_ATTEMPTS):
         result = await store.put(CHUNK_KIND, digest, encode_chunk(text), 0)
         if result is not WriteResult.UNKNOWN:
             return True
--- a/src/radishtrack/keys/keyring.py
+++ b/src/radishtrack/keys/keyring.py
@@ -89,16 +89,16 @@
             Keys that were active and are not in this version; empty if the version is
             not higher than the current one.
         """
-        present = self.organisations.get(organisation)
-        if present is not None and version <= present.version:
+        current = self.organisations.get(organisation)
+        if current is not None and version <= current.version:
             return ()
         verifiers = _parse_verifiers(organisation, value)
-        self._update_index(present.verifiers if present else {}, verifiers)
+        self._update_index(current.verifiers if current else {}, verifiers)
         self.organisations[organisation] = OrganisationKeys(version, verifiers)
-        before = present.verifiers if present else {}
+        previous = current.verifiers if current else {}
         return tuple(
             RevokedKey(organisation, key_id)
-            for key_id, verifier in before.items()
+            for key_id, verifier in previous.items()
             if verifiers.get(key_id) != verifier
         )
 
--- a/src/radishtrack/keys/store.py
+++ b/src/radishtrack/keys/store.py
@@ -17,7 +17,7 @@
 from radishtrack.keys.key import IssuedKey
 from radishtrack.keys.keyring import KIND
 
-WRITE_ATTEMPTS: Final = 8
+MAX_WRITE_ATTEMPTS: Final = 8
 
 Entries = tuple["KeyEntry", ...]
 
@@ -101,7 +101,7 @@
     store: ObjectStore, organisation: str, change: Callable[[Entries], Entries]
 ) -> Entries:
     """Update with compare-and-swap; retry on conflicts and lost responses."""
-    for _ in range(WRITE_ATTEMPTS):
+    for _ in range(MAX_WRITE_ATTEMPTS):
         stored = await store.get(KIND, organisation)
         current = read_entries(stored.value if stored else None)
         updated = change(current)
@@ -114,7 +114,8 @@
             return updated
         await asyncio.sleep(store.retry_pause_ms / SECOND_MS)
     raise StoreUnavailable(
-        f"the keys of {organisation} could not be updated in {WRITE_ATTEMPTS} attempts"
+        f"the keys of {organisation} could not be updated in "
+        f"{MAX_WRITE_ATTEMPTS} attempts"
     )
 
 
--- a/src/radishtrack/routing/options.py
+++ b/src/radishtrack/routing/options.py
@@ -95,7 +95,7 @@
     options_comment: re.Match[str] | None = None
     comment = _LEADING_COMMENT.match(sql)
     while comment is not None:
-        if _is_options(comment[1]):
+        if _is_options_comment(comment[1]):
             if options_comment is not None:
                 raise make_invalid_option("more than one radishtrack comment")
             options_comment = comment
@@ -110,7 +110,7 @@
     )
 
 
-def _is_options(text: str) -> bool:
+def _is_options_comment(text: str) -> bool:
     return text.startswith("radishtrack") and text[11:12] in ("", *" \t\r\n\f\v")
 
 
@@ -124,7 +124,7 @@
             raise make_invalid_option(f"option {name} is repeated")
         values[name] = value
     fields = {
-        _FIELDS.get(name, name): _PARSERS[name](name, value)
+        _FIELD_NAMES.get(name, name): _PARSERS[name](name, value)
         for name, value in values.items()
     }
     options = RequestOptions(**fields)  # type: ignore[arg-type]
@@ -162,7 +162,7 @@
     return parse
 
 
-_FIELDS: Final = {"class": "read_class"}
+_FIELD_NAMES: Final = {"class": "read_class"}
 _PARSERS: Final[dict[str, Callable[[str, str], object]]] = {
     "class": _parse_class,
     "max_age_ms": _make_number_parser(MAX_AGE_MS),
--- a/src/radishtrack/routing/statement.py
+++ b/src/radishtrack/routing/statement.py
@@ -99,7 +99,7 @@
 def make_classifier(
     max_cached_statements: int = MAX_CACHED_STATEMENTS,
 ) -> Callable[[str], Statement]:
-    """Return a classifier with a cache of its own.
+    """Return a classifier with its own cache.
 
     Parameters
     ----------
@@ -286,8 +286,8 @@
 def _iterate_tables(tree: exp.Expression) -> Iterator[str]:
     with_clause = tree.args.get("with_")
     expressions = [] if with_clause is None else with_clause.expressions
-    # Only the outermost WITH is considered: its names are visible everywhere, except
-    # in the definitions up to and including their own.
+    # Only the outermost WITH is considered: its names are visible everywhere, except in
+    # earlier definitions and, unless it is recursive, in their own.
     definitions = {cte.alias: number for number, cte in enumerate(expressions)}
     is_recursive = bool(with_clause is not None and with_clause.recursive)
     numbers = {id(cte): number for number, cte in enumerate(expressions)}
--- a/src/radishtrack/session/position.py
+++ b/src/radishtrack/session/position.py
@@ -68,7 +68,7 @@
     term : int
         The term of the log.
     history : tuple of TermStart
-        The starts of all known terms.
+        The starts of all terms so far.
 
     Returns
     -------
--- a/src/radishtrack/session/token.py
+++ b/src/radishtrack/session/token.py
@@ -23,7 +23,7 @@
 _HEADER_BYTES: Final = 1 + _LENGTH_BYTES
 _MAC_BYTES: Final = 32
 _PURPOSE: Final = b"radishtrack session token\x00"
-_MAX_INTEGER: Final = 2**63
+_INTEGER_LIMIT: Final = 2**63
 
 
 class TokenRefusal(enum.Enum):
@@ -154,6 +154,6 @@
 
 
 def _check_integer(value: object) -> int:
-    if not isinstance(value, int) or not 0 <= value < _MAX_INTEGER:
+    if not isinstance(value, int) or not 0 <= value < _INTEGER_LIMIT:
         raise ValueError
     return value
