--- a/src/radishtrack/keys/contact.py
+++ b/src/radishtrack/keys/contact.py
@@ -42,7 +42,7 @@
         peer: str,
         requested_ms: float,
         *,
-        platform_down: bool,
+        is_platform_down: bool,
         copy_age_ms: float | None = None,
     ) -> None:
         """Record a peer's response.
@@ -53,7 +53,7 @@
             The peer.
         requested_ms : float
             When the request was sent; the response is at least as recent.
-        platform_down : bool
+        is_platform_down : bool
             Whether the peer does not reach the platform.
         copy_age_ms : float, optional
             Age of the peer's copy when it responded, if it was applied or is equal.
@@ -65,7 +65,7 @@
         if copy_age_ms is not None:
             copy_confirmed_ms = max(copy_confirmed_ms, requested_ms - copy_age_ms)
         self.peers[peer] = PeerContact(
-            peer, requested_ms, platform_down, copy_confirmed_ms
+            peer, requested_ms, is_platform_down, copy_confirmed_ms
         )
 
     def set_peers(
--- a/src/radishtrack/keys/freshness.py
+++ b/src/radishtrack/keys/freshness.py
@@ -28,7 +28,7 @@
         The peer.
     last_response_ms : float
         Send time of the last request to which the peer responded.
-    platform_down : bool
+    is_platform_down : bool
         Whether the peer reported that it does not reach the platform.
     copy_confirmed_ms : float
         When the copy of the keys that this node received from the peer was last
@@ -37,7 +37,7 @@
 
     peer: str
     last_response_ms: float
-    platform_down: bool
+    is_platform_down: bool
     copy_confirmed_ms: float = -math.inf
 
 
@@ -55,7 +55,7 @@
 
     confirmed_ms: float
     """When the copy last equalled the platform's."""
-    platform_down: bool
+    is_platform_down: bool
     """Whether the peers agree that the platform is down; if not, they reach it."""
 
 
@@ -101,7 +101,7 @@
         copy_confirmed_ms > platform_contact_ms
         and now_ms - copy_confirmed_ms <= MAX_CONTACT_AGE_MS
     ):
-        return ServeOnPeersWord(copy_confirmed_ms, platform_down=False)
+        return ServeOnPeersWord(copy_confirmed_ms, is_platform_down=False)
     if now_ms - platform_contact_ms <= MAX_CONTACT_AGE_MS:
         return Serve(platform_contact_ms)
     responsive = [
@@ -115,7 +115,7 @@
             f"{peer_count} peers in the last 30 s"
         )
     if not _is_majority(
-        sum(contact.platform_down for contact in responsive), peer_count
+        sum(contact.is_platform_down for contact in responsive), peer_count
     ):
         return Refuse(
             "this node cannot reach the platform, but some peers can, and no copy "
@@ -124,7 +124,7 @@
     confirmed_ms = max(platform_contact_ms, copy_confirmed_ms)
     if now_ms - confirmed_ms > MAX_OUTAGE_MS:
         return Refuse("the copy of the keys is older than 24 h")
-    return ServeOnPeersWord(confirmed_ms, platform_down=True)
+    return ServeOnPeersWord(confirmed_ms, is_platform_down=True)
 
 
 def _is_majority(number: int, total: int) -> bool:
--- a/src/radishtrack/proxy/copies.py
+++ b/src/radishtrack/proxy/copies.py
@@ -196,7 +196,7 @@
         self.contacts.record_peer_contact(
             peer,
             asked_ms,
-            platform_down=answer.contact_age_ms > CUT_OFF_MS,
+            is_platform_down=answer.contact_age_ms > CUT_OFF_MS,
             copy_age_ms=copy.age_ms,
         )
         before = self.configuration.revision
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -59,7 +59,7 @@
     match decision:
         case Serve():
             assert expected == "serve"
-        case ServeOnPeersWord(platform_down=down):
+        case ServeOnPeersWord(is_platform_down=down):
             assert expected == ("outage" if down else "peers")
         case Refuse(reason=reason):
             assert REASONS[expected] in reason
@@ -85,7 +85,7 @@
     )
     for now_ms in (31_000, 31_100, 32_000):
         assert state.check(now_ms) is not None
-    state.record_peer_contact("a", 32_000, platform_down=False, copy_age_ms=500)
+    state.record_peer_contact("a", 32_000, is_platform_down=False, copy_age_ms=500)
     assert state.check(33_000) is None
     assert state.decision == ServeOnPeersWord(31_500, False)
     assert state.check(62_000) is not None
@@ -96,10 +96,10 @@
 def test_late_answers_and_strangers_do_not_count() -> None:
     state = make_contact_state()
     state.set_peers(frozenset({"a"}))
-    state.record_peer_contact("a", 5_000, platform_down=True)
-    state.record_peer_contact("a", 4_000, platform_down=False, copy_age_ms=0)
+    state.record_peer_contact("a", 5_000, is_platform_down=True)
+    state.record_peer_contact("a", 4_000, is_platform_down=False, copy_age_ms=0)
     assert state.peers["a"] == PeerContact("a", 5_000, True)
-    state.record_peer_contact("stranger", 5_000, platform_down=True)
+    state.record_peer_contact("stranger", 5_000, is_platform_down=True)
     state.set_peers(frozenset({"a"}))
     assert set(state.peers) == {"a"}
     state.record_platform_contact(7_000)
@@ -122,7 +122,7 @@
     fleet = frozenset({"a", "b", "x1", "x2", "x3", "x4"})
     state.set_peers(fleet, frozenset({"a", "b"}))
     for peer in ("a", "b"):
-        state.record_peer_contact(peer, 99_000.0, platform_down=True)
+        state.record_peer_contact(peer, 99_000.0, is_platform_down=True)
     assert state.check(100_000.0) is None
     state.set_peers(fleet)
     assert state.check(101_000.0) is not None
