--- a/tests/test_config_state.py
+++ b/tests/test_config_state.py
@@ -27,63 +27,63 @@
 
 
 @attrs.define(frozen=True)
-class StoredRevision:
+class Step:
     """A revision with its chunks."""
 
     manifest: Manifest
     chunks: dict[str, str]
 
 
-def make_revisions(count: int) -> list[StoredRevision]:
-    revisions: list[StoredRevision] = []
+def make_steps(count: int) -> list[Step]:
+    steps: list[Step] = []
     manifest = EMPTY_MANIFEST
     for number in range(1, count + 1):
         chunks = split_document(make_fleet(rate=number))
         manifest = make_next_manifest(
             manifest, chunks, apply_id=f"{number}", author="kari", changes=()
         )
-        revisions.append(StoredRevision(manifest, chunks))
-    return revisions
+        steps.append(Step(manifest, chunks))
+    return steps
 
 
-REVISIONS = make_revisions(6)
+STEPS = make_steps(6)
 
 
 def get_rate(state: ConfigurationState) -> float:
     return state.document.organisations["org-0"].rate
 
 
-def accept(state: ConfigurationState, stored: StoredRevision) -> object:
-    missing = state.find_missing(stored.manifest)
+def accept(state: ConfigurationState, step: Step) -> object:
+    missing = state.find_missing(step.manifest)
     return state.accept(
-        stored.manifest, {digest: stored.chunks[digest] for digest in missing}
+        step.manifest, {digest: step.chunks[digest] for digest in missing}
     )
 
 
 @settings(derandomize=True, deadline=None, max_examples=100)
 @given(st.lists(st.tuples(st.integers(0, 5), st.booleans()), max_size=15))
 def test_the_revision_never_reverts(arrivals: list[tuple[int, bool]]) -> None:
-    """Responses arrive in any order, repeated, and some with damaged chunks."""
+    """Answers arrive in any order, repeated, and some with damaged chunks."""
     state = make_configuration_state()
-    highest = 0
+    best = 0
     for index, damaged in arrivals:
-        stored = REVISIONS[index]
+        step = STEPS[index]
         if damaged:
-            state.accept(stored.manifest, dict.fromkeys(stored.chunks, "[]"))
+            state.accept(step.manifest, dict.fromkeys(step.chunks, "[]"))
         else:
-            accept(state, stored)
-            highest = max(highest, index + 1)
-        assert state.revision == highest
-        if highest:
-            assert get_rate(state) == highest
+            accept(state, step)
+            best = max(best, index + 1)
+        assert state.revision == best
+        if best:
+            assert get_rate(state) == best
 
 
 def test_only_a_higher_revision_is_accepted() -> None:
     state = make_configuration_state()
-    assert accept(state, REVISIONS[2]) == Accepted(3)
-    assert accept(state, REVISIONS[2]) == Stale(3)
-    assert accept(state, REVISIONS[0]) == Stale(1)
-    assert state.find_missing(REVISIONS[2].manifest) == ()
+    assert accept(state, STEPS[2]) == Accepted(3)
+    assert accept(state, STEPS[2]) == Stale(3)
+    assert accept(state, STEPS[0]) == Stale(1)
+    assert state.find_missing(STEPS[2].manifest) == ()
 
 
 @pytest.mark.parametrize("fault", ["missing", "damaged", "not entries", "invalid"])
@@ -91,22 +91,22 @@
     fault: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     state = make_configuration_state()
-    accept(state, REVISIONS[0])
+    accept(state, STEPS[0])
     chunks = {
         "missing": {},
-        "damaged": dict.fromkeys(REVISIONS[1].chunks, "[]"),
+        "damaged": dict.fromkeys(STEPS[1].chunks, "[]"),
         "not entries": _make_chunk('[["owner",5]]'),
         "invalid": _make_chunk('[["organisation",{"name":"a","owner":"nobody"}]]'),
     }[fault]
     digests = tuple(chunks) if fault in ("not entries", "invalid") else None
     manifest = attrs.evolve(
-        REVISIONS[1].manifest, chunks=digests or REVISIONS[1].manifest.chunks
+        STEPS[1].manifest, chunks=digests or STEPS[1].manifest.chunks
     )
     for _ in range(2):
         assert isinstance(state.accept(manifest, chunks), Rejected)
     assert (state.revision, get_rate(state)) == (1, 1)
     assert caplog.text.count("5002") == 1
-    assert accept(state, REVISIONS[2]) == Accepted(3)
+    assert accept(state, STEPS[2]) == Accepted(3)
 
 
 def _make_chunk(text: str) -> dict[str, str]:
@@ -115,7 +115,7 @@
 
 def make_copy(index: int, secret: str = SECRET) -> bytes:
     state = make_configuration_state()
-    accept(state, REVISIONS[index])
+    accept(state, STEPS[index])
     return state.seal_copy(secret)
 
 
@@ -133,7 +133,7 @@
 
 def test_an_invalid_copy_does_not_hide_a_lower_valid_one() -> None:
     broken = make_configuration_state()
-    broken.manifest = REVISIONS[5].manifest
+    broken.manifest = STEPS[5].manifest
     state = make_configuration_state()
     copies = [broken.seal_copy(SECRET), make_copy(1)]
     assert state.accept_copies(copies, SECRET) == Accepted(2)
--- a/tests/test_config_store.py
+++ b/tests/test_config_store.py
@@ -170,21 +170,19 @@
     faults=st.lists(st.sampled_from(FAULTS), max_size=12),
     attempts=st.lists(st.integers(0, 4), min_size=2, max_size=6),
 )
-def test_reported_results_agree_with_the_history(
-    faults: list[str], attempts: list[int]
-) -> None:
-    """Operators with an old base lose the race; every applied change is recorded."""
+def test_every_reported_result_is_true(faults: list[str], attempts: list[int]) -> None:
+    """Operators who are behind lose; those told "applied" are in the history."""
 
     async def run() -> None:
         platform = MemoryPlatform(faults)
         store = platform.make_store()
         applied = []
         for number, behind in enumerate(attempts):
-            latest = (await fetch_revision(store)).manifest.revision
-            seen = max(0, latest - behind)
+            known = (await fetch_revision(store)).manifest.revision
+            seen = max(0, known - behind)
             result = await apply_rate(store, number + 1, seen=seen, author=f"{number}")
             if isinstance(result, Applied):
-                assert seen == latest
+                assert seen == known
                 applied.append((result.revision, f"{number}"))
         manifest = (await fetch_revision(store)).manifest
         history = [(change.revision, change.author) for change in manifest.history]
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -137,7 +137,7 @@
 @settings(derandomize=True, deadline=None)
 @given(st.lists(st.integers(1, 8), max_size=20))
 def test_a_revoked_key_never_becomes_valid_again(versions: list[int]) -> None:
-    """Version 4 and later revoke k1; responses arrive in any order."""
+    """Version 4 and later revoke k1; answers arrive in any order."""
     keyring = make_keyring()
     revocations = []
     highest = 0
--- a/tests/test_route.py
+++ b/tests/test_route.py
@@ -204,7 +204,7 @@
         model.terms[name] = model.group.term
 
 
-def _last_position(model: _GroupLogs, name: str) -> Position:
+def _end(model: _GroupLogs, name: str) -> Position:
     entries = model.logs[name]
     return Position(entries[-1][0] if entries else 1, len(entries))
 
@@ -215,7 +215,7 @@
     current = [n for n in fenced if model.terms[n] == model.group.term]
     if len(current) < 2:
         return
-    winner = max(current, key=lambda other: (_last_position(model, other), other))
+    winner = max(current, key=lambda other: (_end(model, other), other))
     term = model.group.term + 1
     start = TermStart(term, len(model.logs[winner]))
     model.group = attrs.evolve(
@@ -238,7 +238,7 @@
 def test_a_chosen_replica_contains_every_write_of_the_session(
     steps: list[tuple[str, int]], aged: bool, stale: int
 ) -> None:
-    """Promotions in random order, with statuses that may be some steps old."""
+    """Random promotions, with statuses that may be some steps old."""
     old, _, _ = _run_history(steps[: max(0, len(steps) - stale)])
     now, written, position = _run_history(steps)
     statuses = {
@@ -247,7 +247,7 @@
             old.terms[name],
             old.terms[name],
             Role.PRIMARY if name == old.group.primary else Role.REPLICA,
-            _last_position(old, name),
+            _end(old, name),
         )
         for name in old.logs
     }
@@ -260,5 +260,5 @@
     )
     choice = choose_member(request)
     if isinstance(choice, ServeOn):
-        contained = {number for _, number in now.logs[choice.member]}
-        assert contained.issuperset(written)
+        held = {number for _, number in now.logs[choice.member]}
+        assert held.issuperset(written)
--- a/tests/test_statement.py
+++ b/tests/test_statement.py
@@ -222,7 +222,7 @@
     ),
     st.sampled_from(["'FOR UPDATE'", "'; KILL 1'", "'/*!'", "'--'", "'#'", "'`'"]),
 )
-templates = st.sampled_from(
+frames = st.sampled_from(
     [
         ("SELECT a FROM t WHERE b = {}", Kind.READ),
         ("SELECT a FROM t WHERE b = {} FOR UPDATE", Kind.WRITE),
@@ -239,9 +239,9 @@
 
 
 @settings(derandomize=True, deadline=None, max_examples=300, database=None)
-@given(template=templates, literal=literals)
-def test_no_literal_changes_the_kind(template: tuple[str, Kind], literal: str) -> None:
-    pattern, kind = template
+@given(frame=frames, literal=literals)
+def test_no_literal_changes_the_class(frame: tuple[str, Kind], literal: str) -> None:
+    pattern, kind = frame
     assert classify(pattern.format(literal)).kind is kind
 
 
--- a/tests/test_token.py
+++ b/tests/test_token.py
@@ -38,15 +38,15 @@
 @given(
     index=st.integers(0, len(TOKEN) - 1),
     letter=st.sampled_from(ALPHABET + "=+/é"),
-    edit=st.sampled_from(["replace", "insert", "delete", "truncate"]),
+    cut=st.sampled_from(["replace", "insert", "delete", "truncate"]),
 )
-def test_modified_tokens_are_rejected(index: int, letter: str, edit: str) -> None:
+def test_no_changed_token_is_accepted(index: int, letter: str, cut: str) -> None:
     changed = {
         "replace": TOKEN[:index] + letter + TOKEN[index + 1 :],
         "insert": TOKEN[:index] + letter + TOKEN[index:],
         "delete": TOKEN[:index] + TOKEN[index + 1 :],
         "truncate": TOKEN[:index],
-    }[edit]
+    }[cut]
     if changed != TOKEN:
         assert decode_token(changed, "sportshall", SECRET).is_error()
 
