--- a/tests/test_config_state.py
+++ b/tests/test_config_state.py
@@ -1,4 +1,4 @@
-"""Guards that a node keeps its last valid configuration and never goes back."""
+"""A node keeps its last valid configuration and never reverts to a lower revision."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
             assert get_rate(state) == best
 
 
-def test_a_higher_revision_is_accepted_and_the_same_is_stale() -> None:
+def test_only_a_higher_revision_is_accepted() -> None:
     state = make_configuration_state()
     assert accept(state, STEPS[2]) == Accepted(3)
     assert accept(state, STEPS[2]) == Stale(3)
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize("fault", ["missing", "damaged", "not entries", "invalid"])
-def test_a_rejected_revision_leaves_the_last_valid_one(
+def test_a_rejected_revision_leaves_the_last_valid_one_in_force(
     fault: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     state = make_configuration_state()
@@ -95,8 +95,8 @@
     chunks = {
         "missing": {},
         "damaged": dict.fromkeys(STEPS[1].chunks, "[]"),
-        "not entries": _address('[["owner",5]]'),
-        "invalid": _address('[["organisation",{"name":"a","owner":"nobody"}]]'),
+        "not entries": _make_chunk('[["owner",5]]'),
+        "invalid": _make_chunk('[["organisation",{"name":"a","owner":"nobody"}]]'),
     }[fault]
     digests = tuple(chunks) if fault in ("not entries", "invalid") else None
     manifest = attrs.evolve(
@@ -109,7 +109,7 @@
     assert accept(state, STEPS[2]) == Accepted(3)
 
 
-def _address(text: str) -> dict[str, str]:
+def _make_chunk(text: str) -> dict[str, str]:
     return {compute_digest(text): text}
 
 
@@ -119,7 +119,7 @@
     return state.seal_copy(secret)
 
 
-def test_a_start_without_the_platform_takes_the_highest_authentic_copy() -> None:
+def test_a_start_without_the_platform_uses_the_highest_authentic_copy() -> None:
     state = make_configuration_state()
     forged = make_copy(5, secret="another secret")
     damaged = bytearray(make_copy(4))
