--- a/src/radishtrack/backend/monitor.py
+++ b/src/radishtrack/backend/monitor.py
@@ -20,7 +20,7 @@
 from radishtrack.group.detection import (
     POLL_INTERVAL_MS,
     Suspicion,
-    is_good_answer,
+    is_healthy_status,
 )
 from radishtrack.group.evidence import ServeReplicas, StatusRound, choose_strict
 from radishtrack.group.freshness import FreshnessSamples, make_freshness_samples
@@ -283,7 +283,7 @@
                 task.cancel()
 
     def _match_tasks(self) -> None:
-        self.suspicion.watch(self.endpoints, self.clock.now_ms())
+        self.suspicion.set_members(self.endpoints, self.clock.now_ms())
         for member in self.endpoints.keys() - self.tasks.keys():
             self.wakes[member] = asyncio.Event()
             self.tasks[member] = asyncio.create_task(
@@ -315,7 +315,7 @@
                         now_ms = self.clock.now_ms()
                         self.suspicion.refused(endpoint.member, now_ms)
                     else:
-                        self.suspicion.silent(endpoint.member)
+                        self.suspicion.unresponsive(endpoint.member)
                     self._note_failure(endpoint.member, error)
                 else:
                     self._note_answer(endpoint.member, status, sent_ms)
@@ -345,7 +345,7 @@
         now_ms = self.clock.now_ms()
         answer = PolledStatus(status, sent_ms)
         self.board.note(answer)
-        if is_good_answer(status, self.group):
+        if is_healthy_status(status, self.group):
             self.suspicion.answered(member, now_ms)
         if member == self.group.primary:
             recent = self.board.collect_recent(now_ms - SAMPLE_WINDOW_MS)
--- a/src/radishtrack/group/detection.py
+++ b/src/radishtrack/group/detection.py
@@ -30,7 +30,7 @@
 """Time after which fenced members without a promotion are taken over."""
 
 
-def is_good_answer(status: MemberStatus, group: Group) -> bool:
+def is_healthy_status(status: MemberStatus, group: Group) -> bool:
     """Tell whether a status shows that the member fulfils its role in the group.
 
     A recorded primary that answers but was never promoted, or was demoted by an error,
@@ -53,7 +53,7 @@
     refused_ms: dict[str, float] = attrs.field(factory=dict)
     """First refused connection since the last other result, by member."""
 
-    def watch(self, members: Iterable[str], now_ms: float) -> None:
+    def set_members(self, members: Iterable[str], now_ms: float) -> None:
         """Follow exactly `members`; a new one starts as if it had just answered."""
         self.answered_ms = {
             member: self.answered_ms.get(member, now_ms) for member in members
@@ -69,7 +69,7 @@
         """Note that the member's host refused a connection."""
         self.refused_ms.setdefault(member, now_ms)
 
-    def silent(self, member: str) -> None:
+    def unresponsive(self, member: str) -> None:
         """Note a failure that does not show whether the member runs."""
         self.refused_ms.pop(member, None)
 
--- a/src/radishtrack/group/promotion.py
+++ b/src/radishtrack/group/promotion.py
@@ -14,7 +14,7 @@
 from radishtrack.group.promotion_messages import (
     Action,
     AdoptGroup,
-    AskVotes,
+    CollectVotes,
     DeadlinePassed,
     FenceMembers,
     FencingAbandoned,
@@ -27,8 +27,8 @@
     MemberRefused,
     MemberUnreachable,
     Message,
-    PlatformDidNotAnswer,
-    PrimaryAnswered,
+    PlatformDidNotRespond,
+    PrimaryResponded,
     PrimarySuspected,
     PromoteMember,
     ReadGroup,
@@ -103,12 +103,12 @@
     match message:
         case PrimarySuspected():
             attempt.enter("suspected", now_ms)
-            yield AskVotes()
+            yield CollectVotes()
         case FencingAbandoned():
             attempt.takes_over = True
             attempt.enter("took_over", now_ms)
             yield ReadGroup()
-        case PrimaryAnswered():
+        case PrimaryResponded():
             attempt.end("gave_up", "the primary answers again")
 
 
@@ -120,7 +120,7 @@
             if attempt.tally.has_majority(now_ms):
                 attempt.enter("agreed", now_ms)
                 yield ReadGroup()
-        case PrimaryAnswered():
+        case PrimaryResponded():
             attempt.end("gave_up", "the primary answers again")
         case DeadlinePassed():
             if attempt.tries >= TRY_LIMIT:
@@ -128,7 +128,7 @@
                 return
             attempt.tries += 1
             attempt.wait(now_ms)
-            yield AskVotes()
+            yield CollectVotes()
 
 
 def _read(attempt: AttemptState, message: Message, now_ms: float) -> Iterator[Action]:
@@ -142,9 +142,9 @@
             attempt.unanswered = set(group.members)
             attempt.enter("read", now_ms)
             yield FenceMembers(group.members, group, attempt.new_term)
-        case PrimaryAnswered() if not attempt.takes_over:
+        case PrimaryResponded() if not attempt.takes_over:
             attempt.end("gave_up", "the primary answers again")
-        case PlatformDidNotAnswer():
+        case PlatformDidNotRespond():
             attempt.back_off(now_ms)
         case DeadlinePassed():
             if attempt.takes_over or attempt.tally.has_majority(now_ms):
@@ -154,7 +154,7 @@
                 yield ReadGroup()
                 return
             attempt.enter("votes_expired", now_ms)
-            yield AskVotes()
+            yield CollectVotes()
 
 
 def _fence(attempt: AttemptState, message: Message, now_ms: float) -> Iterator[Action]:
@@ -229,7 +229,7 @@
             # The conflict can be with this attempt's own update, sent before.
             attempt.wait(now_ms)
             yield ReadGroup()
-        case PlatformDidNotAnswer():
+        case PlatformDidNotRespond():
             attempt.back_off(now_ms)
         case DeadlinePassed():
             attempt.deadline_ms = now_ms + STEP_TIMEOUT_MS + attempt.backoff_ms
--- a/src/radishtrack/group/promotion_messages.py
+++ b/src/radishtrack/group/promotion_messages.py
@@ -20,7 +20,7 @@
 
 
 @attrs.define(frozen=True)
-class PrimaryAnswered:
+class PrimaryResponded:
     """The suspected primary gave a good answer."""
 
 
@@ -51,7 +51,7 @@
 
 
 @attrs.define(frozen=True)
-class PlatformDidNotAnswer:
+class PlatformDidNotRespond:
     """A read or an update of the platform has no known result."""
 
 
@@ -99,12 +99,12 @@
 Message = (
     PrimarySuspected
     | FencingAbandoned
-    | PrimaryAnswered
+    | PrimaryResponded
     | VotesReceived
     | GroupRead
     | GroupRecorded
     | RecordConflicted
-    | PlatformDidNotAnswer
+    | PlatformDidNotRespond
     | MemberFenced
     | MemberPromoted
     | MemberFollowed
@@ -115,7 +115,7 @@
 
 
 @attrs.define(frozen=True)
-class AskVotes:
+class CollectVotes:
     """Ask all voters whether the primary is unreachable."""
 
 
@@ -203,7 +203,7 @@
 
 
 Action = (
-    AskVotes
+    CollectVotes
     | ReadGroup
     | FenceMembers
     | RecordGroup
--- a/src/radishtrack/membership/nodes.py
+++ b/src/radishtrack/membership/nodes.py
@@ -75,7 +75,7 @@
             if node_id in self.listed
         }
 
-    def note_answer(self, node_id: str, incarnation: int) -> None:
+    def record_response(self, node_id: str, incarnation: int) -> None:
         """Record that a node answered, which ends reports of earlier incarnations."""
         report = self._find_report(node_id)
         if incarnation < report.incarnation:
@@ -85,14 +85,14 @@
             report.incarnation = incarnation
             report.leaving_until_ms = -math.inf
 
-    def note_leaving(self, node_id: str, incarnation: int, now_ms: float) -> None:
+    def record_leaving(self, node_id: str, incarnation: int, now_ms: float) -> None:
         """Record a leaving message; one of an earlier incarnation is out of date."""
         report = self._find_report(node_id)
         if incarnation >= report.incarnation:
             report.incarnation = incarnation
             report.leaving_until_ms = now_ms + LEAVING_VALID_MS
 
-    def note_refusal(self, node_id: str, now_ms: float) -> None:
+    def record_refusal(self, node_id: str, now_ms: float) -> None:
         """Record that a node refused a connection or could not be reached."""
         self._find_report(node_id).refused_until_ms = now_ms + REFUSED_VALID_MS
 
--- a/src/radishtrack/proxy/node.py
+++ b/src/radishtrack/proxy/node.py
@@ -272,7 +272,7 @@
                 return self.copies.answer(message)
             case Leaving(node=node, incarnation=incarnation):
                 now_ms = self.clock.now_ms()
-                self.membership.note_leaving(node, incarnation, now_ms)
+                self.membership.record_leaving(node, incarnation, now_ms)
         return None
 
     async def _follow_platform(self) -> None:
--- a/src/radishtrack/proxy/promoter.py
+++ b/src/radishtrack/proxy/promoter.py
@@ -25,7 +25,7 @@
 from radishtrack.group.promotion_messages import (
     Action,
     AdoptGroup,
-    AskVotes,
+    CollectVotes,
     DeadlinePassed,
     FenceMembers,
     FencingAbandoned,
@@ -38,8 +38,8 @@
     MemberRefused,
     MemberUnreachable,
     Message,
-    PlatformDidNotAnswer,
-    PrimaryAnswered,
+    PlatformDidNotRespond,
+    PrimaryResponded,
     PrimarySuspected,
     PromoteMember,
     ReadGroup,
@@ -208,7 +208,7 @@
             except TimeoutError:
                 early = attempt.state in (Step.VOTING, Step.READING)
                 if early and not self.monitor.is_suspected(primary):
-                    return PrimaryAnswered()
+                    return PrimaryResponded()
 
     def _log_step(self, attempt: PromotionAttempt, before: Step) -> None:
         if attempt.state is before:
@@ -230,7 +230,7 @@
 
     def _perform(self, action: Action) -> None:
         match action:
-            case AskVotes():
+            case CollectVotes():
                 self._spawn(self._ask_votes(self.record.group.primary))
             case ReadGroup():
                 self._spawn(self._read_group())
@@ -268,7 +268,7 @@
             async with asyncio.timeout(ANSWER_TIMEOUT_MS / 1000):
                 record = await self.store.read(self.database)
         except (StoreUnavailableError, TimeoutError):
-            messages.put_nowait(PlatformDidNotAnswer())
+            messages.put_nowait(PlatformDidNotRespond())
             return
         self.update_record(record)
         messages.put_nowait(GroupRead(record.group))
@@ -282,7 +282,7 @@
         except StoreConflictError:
             messages.put_nowait(RecordConflicted())
         except (StoreUnavailableError, TimeoutError):
-            messages.put_nowait(PlatformDidNotAnswer())
+            messages.put_nowait(PlatformDidNotRespond())
         else:
             messages.put_nowait(GroupRecorded(version))
 
--- a/src/radishtrack/proxy/router.py
+++ b/src/radishtrack/proxy/router.py
@@ -130,7 +130,7 @@
                     return
             except RequestError as error:
                 if error.failure.step == FORWARD_STEP:
-                    self.membership.note_refusal(name, self.clock.now_ms())
+                    self.membership.record_refusal(name, self.clock.now_ms())
                 if request.kind == Kind.BEGIN.value:
                     # The holder may have opened the transaction before the failure.
                     await self.end_session(name, request.session)
@@ -210,7 +210,7 @@
             link = await self.open_link(found.peer_address)
             link.observe_control = self.observe_control
             self.links[name] = link
-            self.membership.note_answer(name, link.incarnation)
+            self.membership.record_response(name, link.incarnation)
             return link
 
     async def close(self) -> None:
--- a/tests/test_group_decisions.py
+++ b/tests/test_group_decisions.py
@@ -18,7 +18,7 @@
     FencingWatch,
     Suspicion,
     VoteTally,
-    is_good_answer,
+    is_healthy_status,
     make_vote_tally,
     start_delay_ms,
 )
@@ -168,7 +168,7 @@
 
 def test_a_member_is_suspected_only_after_the_whole_time_without_an_answer() -> None:
     suspicion = Suspicion()
-    suspicion.watch(("a",), 0.0)
+    suspicion.set_members(("a",), 0.0)
     suspicion.answered("a", 100.0)
     assert not suspicion.is_suspected("a", 100.0 + SUSPICION_MS - 1)
     assert suspicion.is_suspected("a", 100.0 + SUSPICION_MS)
@@ -182,7 +182,7 @@
 def test_a_recorded_primary_that_was_never_installed_is_suspected(
     status: str, expected: bool
 ) -> None:
-    assert is_good_answer(parse_status(status), make_group(3, 0, 9)) is expected
+    assert is_healthy_status(parse_status(status), make_group(3, 0, 9)) is expected
 
 
 def test_each_rank_waits_longer_so_that_attempts_seldom_race() -> None:
--- a/tests/test_group_model.py
+++ b/tests/test_group_model.py
@@ -262,7 +262,7 @@
             self._tell(promoter, attempt, message)
 
         match action:
-            case messages.AskVotes():
+            case messages.CollectVotes():
                 tell(messages.VotesReceived(dict.fromkeys(VOTERS, True)))
             case messages.ReadGroup():
                 promoter.add("", lambda fate: self._read(tell, fate))
@@ -282,7 +282,7 @@
 
     def _read(self, tell: Callable[[messages.Message], None], fate: str) -> None:
         if not self.platform.is_up or fate in ("lost", "answer lost"):
-            tell(messages.PlatformDidNotAnswer())
+            tell(messages.PlatformDidNotRespond())
         else:
             tell(messages.GroupRead(self.platform.group))
 
@@ -300,13 +300,13 @@
                 "", lambda later: self._record(promoter, tell, group, version, later)
             )
         if not self.platform.is_up or fate in ("lost", "repeated"):
-            tell(messages.PlatformDidNotAnswer())
+            tell(messages.PlatformDidNotRespond())
             return
         written = self.platform.write(group, version)
         if written is not None:
             self._check_record()
         if fate == "answer lost":
-            tell(messages.PlatformDidNotAnswer())
+            tell(messages.PlatformDidNotRespond())
         else:
             tell(
                 messages.RecordConflicted()
--- a/tests/test_group_promotion.py
+++ b/tests/test_group_promotion.py
@@ -66,7 +66,7 @@
     def perform(self, action: messages.Action) -> None:
         """Carry out one action, or what is left of it under a fault."""
         match action:
-            case messages.AskVotes():
+            case messages.CollectVotes():
                 self.vote(self.take_fault("vote"))
             case messages.ReadGroup():
                 again = self.attempt.state is Step.RECORDING
@@ -111,7 +111,7 @@
         if fault == "raced":
             self.race()
         if fault == "down":
-            self.inbox.append(messages.PlatformDidNotAnswer())
+            self.inbox.append(messages.PlatformDidNotRespond())
         elif fault != "silent":
             self.inbox.append(messages.GroupRead(self.platform.group))
         for late in self.late:
@@ -125,7 +125,7 @@
         if fault == "late":
             self.late.append(action)
         if fault == "down":
-            self.inbox.append(messages.PlatformDidNotAnswer())
+            self.inbox.append(messages.PlatformDidNotRespond())
         if fault in ("silent", "late", "down"):
             return
         version = self.platform.write(action.group, action.expected_version)
@@ -239,7 +239,7 @@
         driver.attempt.handle(
             messages.VotesReceived(dict.fromkeys(VOTERS, True)), driver.now_ms
         )
-        actions = driver.attempt.handle(messages.PlatformDidNotAnswer(), driver.now_ms)
+        actions = driver.attempt.handle(messages.PlatformDidNotRespond(), driver.now_ms)
         driver.now_ms += 1_000.0
         actions += driver.attempt.handle(messages.DeadlinePassed(), driver.now_ms)
         assert not any(isinstance(action, messages.FenceMembers) for action in actions)
@@ -249,7 +249,7 @@
 def test_a_primary_that_answers_again_ends_the_attempt_before_fencing() -> None:
     driver = make_driver()
     driver.attempt.handle(messages.PrimarySuspected(), 0.0)
-    assert driver.attempt.handle(messages.PrimaryAnswered(), 1.0) == ()
+    assert driver.attempt.handle(messages.PrimaryResponded(), 1.0) == ()
     assert driver.attempt.state is Step.FAILED
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -146,38 +146,38 @@
 
 def test_a_refused_connection_counts_for_a_while() -> None:
     membership = make_view()
-    membership.note_refusal("n001", 0)
+    membership.record_refusal("n001", 0)
     assert list_avoided(membership, REFUSED_VALID_MS - 1) == ["n001"]
     assert list_avoided(membership, REFUSED_VALID_MS) == []
-    membership.note_refusal("n001", 0)
-    membership.note_answer("n001", 0)
+    membership.record_refusal("n001", 0)
+    membership.record_response("n001", 0)
     assert list_avoided(membership, 1) == []
 
 
 def test_an_answer_of_an_earlier_incarnation_changes_nothing() -> None:
     membership = make_view()
-    membership.note_answer("n001", 7)
-    membership.note_refusal("n001", 0)
-    membership.note_answer("n001", 6)
+    membership.record_response("n001", 7)
+    membership.record_refusal("n001", 0)
+    membership.record_response("n001", 6)
     assert list_avoided(membership, 1) == ["n001"]
 
 
 def test_a_leaving_node_stays_so_until_a_later_incarnation_answers() -> None:
     membership = make_view()
-    membership.note_leaving("n001", 7, 0)
-    membership.note_answer("n001", 7)
+    membership.record_leaving("n001", 7, 0)
+    membership.record_response("n001", 7)
     assert list_avoided(membership, 1) == ["n001"]
-    membership.note_answer("n001", 6)
+    membership.record_response("n001", 6)
     assert list_avoided(membership, 1) == ["n001"]
-    membership.note_answer("n001", 8)
+    membership.record_response("n001", 8)
     assert list_avoided(membership, 1) == []
-    membership.note_leaving("n001", 7, 2)
+    membership.record_leaving("n001", 7, 2)
     assert list_avoided(membership, 3) == []
 
 
 def test_a_leaving_message_expires_and_ends_with_the_listing() -> None:
     membership = make_view()
-    membership.note_leaving("n001", 7, 0)
+    membership.record_leaving("n001", 7, 0)
     assert list_avoided(membership, LEAVING_VALID_MS) == []
     membership.apply_list(make_nodes(1))
     membership.apply_list(make_nodes(3))
@@ -187,5 +187,5 @@
 def test_the_platforms_word_that_a_node_leaves_is_kept() -> None:
     membership = make_view()
     membership.apply_list([attrs.evolve(NODES[1], leaving=True)])
-    membership.note_answer("n001", 9)
+    membership.record_response("n001", 9)
     assert list_avoided(membership, 1) == ["n001"]
--- a/tests/test_suspicion.py
+++ b/tests/test_suspicion.py
@@ -9,14 +9,14 @@
 
 def make_suspicion() -> Suspicion:
     suspicion = Suspicion()
-    suspicion.watch(("m1",), 0.0)
+    suspicion.set_members(("m1",), 0.0)
     return suspicion
 
 
 @pytest.mark.parametrize(("now_ms", "expected"), [(1499.0, False), (1500.0, True)])
 def test_silence_is_suspected_late(now_ms: float, expected: bool) -> None:
     suspicion = make_suspicion()
-    suspicion.silent("m1")
+    suspicion.unresponsive("m1")
     assert suspicion.is_suspected("m1", now_ms) is expected
 
 
@@ -32,7 +32,7 @@
     """A host that dies shows a refusal or none; only lasting refusals count."""
     suspicion = make_suspicion()
     suspicion.refused("m1", 100.0)
-    suspicion.silent("m1")
+    suspicion.unresponsive("m1")
     assert not suspicion.is_suspected("m1", 1499.0)
 
 
