--- a/src/radishtrack/group/detection.py
+++ b/src/radishtrack/group/detection.py
@@ -49,20 +49,20 @@
 class Suspicion:
     """Time of the last good answer of each member."""
 
-    answered_ms: dict[str, float] = attrs.field(factory=dict)
+    last_healthy_ms: dict[str, float] = attrs.field(factory=dict)
     refused_ms: dict[str, float] = attrs.field(factory=dict)
     """First refused connection since the last other result, by member."""
 
     def set_members(self, members: Iterable[str], now_ms: float) -> None:
         """Follow exactly `members`; a new one starts as if it had just answered."""
-        self.answered_ms = {
-            member: self.answered_ms.get(member, now_ms) for member in members
+        self.last_healthy_ms = {
+            member: self.last_healthy_ms.get(member, now_ms) for member in members
         }
 
     def answered(self, member: str, now_ms: float) -> None:
         """Note a good answer."""
-        if member in self.answered_ms:
-            self.answered_ms[member] = now_ms
+        if member in self.last_healthy_ms:
+            self.last_healthy_ms[member] = now_ms
         self.refused_ms.pop(member, None)
 
     def refused(self, member: str, now_ms: float) -> None:
@@ -79,12 +79,12 @@
 
     def is_suspected(self, member: str, now_ms: float) -> bool:
         """Tell whether the member was silent or refused connections for too long."""
-        answered_ms = self.answered_ms.get(member)
-        if answered_ms is None:
+        last_healthy_ms = self.last_healthy_ms.get(member)
+        if last_healthy_ms is None:
             return False
         refused_ms = self.refused_ms.get(member, now_ms)
         return (
-            now_ms - answered_ms >= SUSPICION_MS
+            now_ms - last_healthy_ms >= SUSPICION_MS
             or now_ms - refused_ms >= REFUSED_SUSPICION_MS
         )
 
--- a/tests/test_monitor.py
+++ b/tests/test_monitor.py
@@ -73,7 +73,7 @@
     await asyncio.sleep(0)
     gate.set()
     status_round = await asked
-    assert monitor.suspicion.answered_ms.keys() == set(NAMES)
+    assert monitor.suspicion.last_healthy_ms.keys() == set(NAMES)
     assert status_round.statuses.keys() == {"b", "c"}, "the replicas decide it"
     assert {s.position.sequence for s in status_round.statuses.values()} == {6}
     await monitor.stop()
