--- a/src/radishtrack/group/detection.py
+++ b/src/radishtrack/group/detection.py
@@ -1,4 +1,4 @@
-"""When a member counts as failed and who starts a promotion."""
+"""Detection of failed members and the conditions for starting a promotion."""
 
 from __future__ import annotations
 
@@ -11,74 +11,74 @@
 from radishtrack.group.status import Group, MemberStatus, Role
 
 POLL_INTERVAL_MS: Final = 250.0
-"""Time between two status polls of a member without waiting requests."""
+"""Interval of status polls to a member while no request waits for one."""
 
 SUSPICION_MS: Final = 1_500.0
-"""Time without a good answer after which a member is suspected."""
+"""Time without a healthy status after which a member is suspected."""
 
 REFUSED_SUSPICION_MS: Final = 500.0
-"""Time of refused connections after which a member is suspected. A refusal comes from
-a host that runs without the member, so it needs less patience than silence."""
+"""Time of refused connections after which a member is suspected. A refusal shows that
+the host runs without the member, so this can be shorter than `SUSPICION_MS`."""
 
 VOTE_LIFETIME_MS: Final = 1_500.0
-"""Time for which a vote counts; an older one says nothing about the present."""
+"""Time for which a vote counts; an older one may no longer be true."""
 
 RANK_DELAY_MS: Final = 500.0
-"""Delay of a promoter for each rank before it, so that attempts seldom race."""
+"""Start delay of a promoter per placement rank, so that attempts seldom race."""
 
 ABANDONED_MS: Final = 1_000.0
-"""Time after which fenced members without a promotion are taken over."""
+"""Time after which another node completes fencing that led to no promotion."""
 
 
 def is_healthy_status(status: MemberStatus, group: Group) -> bool:
     """Tell whether a status shows that the member fulfils its role in the group.
 
-    A recorded primary that answers but was never promoted, or was demoted by an error,
-    accepts no writes and must be suspected like one that is silent. A fenced primary is
-    left to `FencingWatch`, which needs no vote.
+    A recorded primary that responds but was never promoted, or was demoted by an error,
+    accepts no writes and must be suspected like an unresponsive one. A fenced primary
+    is left to `FencingWatch`, which needs no vote.
     """
     if status.member != group.primary:
         return True
     if status.term > group.term:
-        # The record in hand is outdated, which is no fault of the member.
+        # The caller's record is outdated, which is no fault of the member.
         return True
     return status.role is Role.PRIMARY and status.term == group.term
 
 
 @attrs.define
 class Suspicion:
-    """Time of the last good answer of each member."""
+    """Time of the last healthy status and of refused connections, by member."""
 
     last_healthy_ms: dict[str, float] = attrs.field(factory=dict)
     refused_ms: dict[str, float] = attrs.field(factory=dict)
-    """First refused connection since the last other result, by member."""
+    """First refused connection since the last poll with another result."""
 
     def set_members(self, members: Iterable[str], now_ms: float) -> None:
-        """Follow exactly `members`; a new one starts as if it had just answered."""
+        """Track exactly `members`; a new one starts as if it had just responded."""
         self.last_healthy_ms = {
             member: self.last_healthy_ms.get(member, now_ms) for member in members
         }
 
     def answered(self, member: str, now_ms: float) -> None:
-        """Note a good answer."""
+        """Record a healthy status."""
         if member in self.last_healthy_ms:
             self.last_healthy_ms[member] = now_ms
         self.refused_ms.pop(member, None)
 
     def refused(self, member: str, now_ms: float) -> None:
-        """Note that the member's host refused a connection."""
+        """Record that the member's host refused a connection."""
         self.refused_ms.setdefault(member, now_ms)
 
     def unresponsive(self, member: str) -> None:
-        """Note a failure that does not show whether the member runs."""
+        """Record a failure that does not show whether the member runs."""
         self.refused_ms.pop(member, None)
 
     def reset(self, member: str, now_ms: float) -> None:
-        """Give a member the full time again, for example after its promotion."""
+        """Restart the member's suspicion time, for example after its promotion."""
         self.answered(member, now_ms)
 
     def is_suspected(self, member: str, now_ms: float) -> bool:
-        """Tell whether the member was silent or refused connections for too long."""
+        """Tell whether the member has been unresponsive or refusing for too long."""
         last_healthy_ms = self.last_healthy_ms.get(member)
         if last_healthy_ms is None:
             return False
@@ -93,7 +93,7 @@
 class Vote:
     """One voter's report on the primary."""
 
-    unreachable: bool
+    is_unreachable: bool
     received_ms: float
 
 
@@ -104,25 +104,25 @@
     Parameters
     ----------
     voters : tuple of str
-        All voters, whether they answer or not.
+        All voters, whether they respond or not.
     """
 
     voters: tuple[str, ...]
     votes: dict[str, Vote] = attrs.field(factory=dict)
 
-    def record(self, voter: str, unreachable: bool, now_ms: float) -> None:
-        """Note the latest vote of a voter; others are ignored."""
+    def record(self, voter: str, is_unreachable: bool, now_ms: float) -> None:
+        """Record the latest vote of a voter; other nodes are ignored."""
         if voter in self.voters:
-            self.votes[voter] = Vote(unreachable, now_ms)
+            self.votes[voter] = Vote(is_unreachable, now_ms)
 
     def has_majority(self, now_ms: float) -> bool:
         """Tell whether a majority of all voters reports the primary unreachable.
 
-        Voters that did not answer count as opposed: otherwise one node that is cut off
-        from everything would agree with itself.
+        Voters that did not respond count as opposed: otherwise one node that is cut off
+        from all others would be a majority by itself.
         """
         agreeing = sum(
-            vote.unreachable and now_ms - vote.received_ms <= VOTE_LIFETIME_MS
+            vote.is_unreachable and now_ms - vote.received_ms <= VOTE_LIFETIME_MS
             for vote in self.votes.values()
         )
         return agreeing > len(self.voters) // 2
@@ -134,12 +134,12 @@
 
 
 def start_delay_ms(rank: int) -> float:
-    """Return how long the node of a placement rank waits before it starts.
+    """Return how long a node waits before it starts a promotion.
 
     Parameters
     ----------
     rank : int
-        Place of the node in the database's placement order; 0 starts at once.
+        Rank of the node in the database's placement order; 0 starts immediately.
 
     Returns
     -------
@@ -151,7 +151,7 @@
 
 @attrs.define
 class FencingWatch:
-    """Since when members are fenced for a term that nobody recorded."""
+    """Time since which members are fenced for a term that is not recorded."""
 
     term: int = 0
     since_ms: float | None = None
@@ -180,7 +180,7 @@
         now_ms : float
             Current time in milliseconds.
         rank : int
-            Place of the node in the placement order.
+            Rank of the node in the placement order.
         """
         if self.since_ms is None:
             return False
--- a/src/radishtrack/group/election.py
+++ b/src/radishtrack/group/election.py
@@ -36,7 +36,7 @@
     """Return the sequence beyond which a member must discard its log.
 
     A member that missed promotions may hold changes that one of them left out, even if
-    a later term started beyond them; a client may have been told that they did not run.
+    a later term started beyond them; a client may have the outcome "not run" for them.
 
     Parameters
     ----------
@@ -61,7 +61,7 @@
 def kept_sequence(status: MemberStatus, group: Group) -> int:
     """Return how much of a member's log belongs to the log of the group's term.
 
-    Such logs are all beginnings of the same log, so their lengths alone order them.
+    These parts are all prefixes of the same log, so their lengths alone order them.
     """
     return min(status.position.sequence, discard_limit(status, group))
 
@@ -72,12 +72,12 @@
     new_term: int,
     leaving: frozenset[str] = frozenset(),
 ) -> Elected | NotElected:
-    """Choose the furthest fenced member.
+    """Choose the most advanced fenced member.
 
     Parameters
     ----------
     statuses : iterable of MemberStatus
-        Answers to the fence command.
+        Responses to the fence command.
     group : Group
         The record read before fencing.
     new_term : int
@@ -88,7 +88,7 @@
     Returns
     -------
     Elected or NotElected
-        The member and where the new term begins, or the reason for the refusal.
+        The member and where the new term begins, or why no member was chosen.
     """
     fenced = {
         status.member: status
@@ -103,27 +103,29 @@
             f"{new_term}; {group.fence_quorum} are needed"
         )
 
-    furthest = max(kept_sequence(status, group) for status in fenced.values())
-    # A member that still holds changes which an earlier promotion left out would bring
-    # them back; it discards them before it is fenced, see `discard_limit`.
+    max_sequence = max(kept_sequence(status, group) for status in fenced.values())
+    # A member that still holds changes which an earlier promotion left out would
+    # restore them; it has to discard them before it is fenced, see `discard_limit`.
     candidates = [
         status
         for status in fenced.values()
-        if status.position.sequence == kept_sequence(status, group) == furthest
+        if status.position.sequence == kept_sequence(status, group) == max_sequence
     ]
     if not candidates:
-        return NotElected("the furthest fenced member has changes to discard first")
+        return NotElected(
+            "the most advanced fenced member has changes to discard first"
+        )
 
     def preference(status: MemberStatus) -> tuple[bool, bool, str]:
-        # The replaced primary comes after its equals because most voters cannot
-        # reach it.
+        # The replaced primary ranks after members with an equal log because most
+        # voters cannot reach it.
         return (
             status.member in leaving,
             status.member == group.primary,
             status.member,
         )
 
-    # A leaving member that is strictly ahead is chosen all the same: it may be the
-    # only fenced member that holds an acknowledged commit, and losing the commit is
-    # worse than a second promotion when the member leaves.
-    return Elected(min(candidates, key=preference).member, furthest)
+    # A leaving member that is strictly ahead is still elected: it may be the only
+    # fenced member that holds an acknowledged commit, and losing the commit is worse
+    # than a second promotion when the member leaves.
+    return Elected(min(candidates, key=preference).member, max_sequence)
--- a/src/radishtrack/group/evidence.py
+++ b/src/radishtrack/group/evidence.py
@@ -1,4 +1,4 @@
-"""What one round of status polls proves about a term and its log."""
+"""Evidence that one round of status polls gives about a term and its log."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 @attrs.define(frozen=True)
 class StatusRound:
-    """The answers to polls that were all sent at or after one moment.
+    """The responses to status polls that were all sent at or after `started_ms`.
 
     Parameters
     ----------
     started_ms : float
-        The moment, in milliseconds of the clock.
+        Lower bound of the send times, in milliseconds of the clock.
     statuses : mapping of str to MemberStatus
-        The members that answered in the round, by name.
+        Status of each member that responded in the round, by name.
     """
 
     started_ms: float
@@ -33,7 +33,7 @@
     Parameters
     ----------
     members : tuple of str
-        Replicas that may serve at once.
+        Replicas that may serve immediately.
     position : Position
         A position that covers every acknowledged commit.
     """
@@ -107,7 +107,7 @@
 
 
 def count_unfenced(status_round: StatusRound, group: Group) -> int:
-    """Return the number of members seen unfenced in the group's term."""
+    """Return the number of members reported unfenced in the group's term."""
     return sum(
         is_in_service(status, group) for status in status_round.statuses.values()
     )
@@ -116,7 +116,7 @@
 def has_term_evidence(status_round: StatusRound, group: Group) -> bool:
     """Tell whether the group's term was still current when the round started.
 
-    A member never returns to an earlier term, so a member seen unfenced in the term
+    A member never returns to an earlier term, so a member reported unfenced in the term
     was not fenced before the round. With n - fence quorum + 1 such members fewer than
     a fence quorum were fenced, and no later term had been recorded.
     """
@@ -125,35 +125,35 @@
 
 
 def confirmed_position(status_round: StatusRound, group: Group) -> Position | None:
-    """Return the furthest position that enough unfenced replicas have reached.
+    """Return the most advanced position that enough unfenced replicas have reached.
 
     Parameters
     ----------
     status_round : StatusRound
-        Answers of members.
+        Responses of members.
     group : Group
         The group and its term.
 
     Returns
     -------
     Position or None
-        Every later promotion keeps the log of the term up to here; None without
-        enough replicas.
+        Every later promotion keeps the log of the term up to this position; None
+        without enough replicas.
     """
     needed = count_confirming_replicas(group)
     if needed == 0:
         primary = find_primary(status_round, group)
         return None if primary is None else primary.position
-    return _nth_furthest(iterate_replicas(status_round, group), needed)
+    return _nth_most_advanced(iterate_replicas(status_round, group), needed)
 
 
 def choose_strict(status_round: StatusRound, group: Group) -> StrictChoice:
     """Choose where a strict read that arrived before the round can run.
 
-    An acknowledged commit is held by the primary and at least `needed` replicas. If
-    `missing` replicas did not answer in the term, at least ``needed - missing`` of
-    those that did hold it, so the position at that rank covers it. Once as many are
-    missing as are needed, only the primary's position covers it.
+    The primary and at least ``needed`` replicas (see `count_confirming_replicas`) hold
+    an acknowledged commit. If ``missing`` replicas did not respond in the term, at
+    least ``needed - missing`` of the others hold it, so the position at that rank
+    covers it. Once ``missing`` reaches ``needed``, only the primary's position does.
 
     Parameters
     ----------
@@ -176,18 +176,18 @@
     replicas = tuple(iterate_replicas(status_round, group))
     missing = len(group.members) - 1 - len(replicas)
     rank = count_confirming_replicas(group) - missing
-    covering = _nth_furthest(iter(replicas), rank) if rank > 0 else None
+    covering = _nth_most_advanced(iter(replicas), rank) if rank > 0 else None
     if covering is not None:
-        return ServeReplicas(_names_at(replicas, covering), covering)
+        return ServeReplicas(_members_at(replicas, covering), covering)
     primary = find_primary(status_round, group)
     if primary is None:
-        return NoEvidence("neither the primary nor enough replicas answered")
-    if _names_at(replicas, primary.position):
+        return NoEvidence("neither the primary nor enough replicas responded")
+    if _members_at(replicas, primary.position):
         return ServeReplicasAtLeast(primary.position)
     return ServePrimary(primary.position)
 
 
-def _names_at(
+def _members_at(
     replicas: tuple[MemberStatus, ...], position: Position
 ) -> tuple[str, ...]:
     return tuple(
@@ -197,6 +197,6 @@
     )
 
 
-def _nth_furthest(statuses: Iterator[MemberStatus], rank: int) -> Position | None:
+def _nth_most_advanced(statuses: Iterator[MemberStatus], rank: int) -> Position | None:
     positions = sorted((status.position for status in statuses), reverse=True)
     return positions[rank - 1] if len(positions) >= rank else None
--- a/src/radishtrack/group/freshness.py
+++ b/src/radishtrack/group/freshness.py
@@ -68,13 +68,13 @@
         float
             Milliseconds; infinite if no sample of the replica's term bounds it.
         """
-        reached = (
+        reached_ms = (
             sample.started_ms
             for sample in reversed(self.samples)
             if sample.term == status.term
             and sample.sequence <= status.position.sequence
         )
-        started_ms = next(reached, None)
+        started_ms = next(reached_ms, None)
         return math.inf if started_ms is None else now_ms - started_ms
 
 
--- a/src/radishtrack/group/member_steps.py
+++ b/src/radishtrack/group/member_steps.py
@@ -1,4 +1,4 @@
-"""The statements that fence, promote or follow, as generators without any I/O.
+"""Statement sequences that fence, promote or follow, as generators without I/O.
 
 Each generator yields a statement, receives the member's status after it and returns the
 last status. Other nodes can change the member between any two statements.
@@ -37,8 +37,8 @@
 class Follow:
     """Make the member a replica of `primary` in `term`.
 
-    The member discards its log beyond `start_sequence`, unless it carries the term
-    already.
+    The member discards its log beyond `start_sequence`, unless it is already in the
+    term.
     """
 
     term: int
@@ -57,7 +57,7 @@
     Parameters
     ----------
     group : Group
-        The record in force.
+        The current record.
     term : int
         The term to fence for.
     """
@@ -78,11 +78,11 @@
     return (yield Promote(group.term))
 
 
-def start_to_follow(status: MemberStatus, group: Group) -> int:
-    """Return the sequence beyond which a member discards when it follows.
+def find_follow_start(status: MemberStatus, group: Group) -> int:
+    """Return the sequence beyond which a member discards its log when it follows.
 
-    Without anything to discard this is the start of the term itself: repeated later,
-    the statement must not cut off what the member has replicated since.
+    With nothing to discard this is the start of the term: the statement may be
+    repeated later and must not truncate what the member has replicated since.
     """
     limit = discard_limit(status, group)
     if status.position.sequence > limit:
@@ -94,9 +94,9 @@
 def _follow(status: MemberStatus, group: Group) -> Steps:
     if status.term >= group.term or status.member == group.primary:
         return status
-    # Fenced for this term, the member cannot join another one before the statement
-    # below, which discards what this status shows to be left out.
+    # The fence keeps the member from joining another term before the statement below,
+    # which discards what a promotion left out according to this status.
     status = yield Fence(group.term)
     if status.term >= group.term:
         return status
-    return (yield Follow(group.term, group.primary, start_to_follow(status, group)))
+    return (yield Follow(group.term, group.primary, find_follow_start(status, group)))
--- a/src/radishtrack/group/outcome.py
+++ b/src/radishtrack/group/outcome.py
@@ -1,4 +1,4 @@
-"""What became of a commit whose position on the primary is known."""
+"""Outcome of a commit whose position on the primary is known."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @attrs.define(frozen=True)
 class StillUnknown:
-    """The answers so far do not decide."""
+    """The responses so far do not determine the outcome."""
 
     reason: str
 
@@ -48,7 +48,7 @@
     -------
     Position or None
         None if the member changed its term or role in between: it may have discarded
-        the commit, and its position says nothing about it.
+        the commit, so its position does not cover it.
     """
     matches = (
         status.member == group.primary
@@ -69,12 +69,12 @@
 
 
 def sequence_before(status: MemberStatus, group: Group) -> int:
-    """Return a length that the log surely had before a statement was sent.
+    """Return a lower bound of the log length at the time a statement was sent.
 
     Parameters
     ----------
     status : MemberStatus
-        A status of the primary, answered before the statement was sent.
+        A status of the primary, received before the statement was sent.
     group : Group
         The record by which the primary was chosen.
     """
@@ -92,8 +92,8 @@
     """Decide the outcome of a commit.
 
     The position is read after the commit and can include later commits of others. It
-    is an upper bound, which proves that a commit is contained in a later term; only the
-    lower bound proves that it is not.
+    is an upper bound, which proves that a later term contains the commit; only the
+    lower bound `sequence_before` proves that it does not.
 
     Parameters
     ----------
@@ -102,7 +102,7 @@
     term_at_commit : int
         The primary's term, reported together with the position.
     status_round : StatusRound
-        Answers received after the commit.
+        Responses received after the commit.
     group : Group
         The latest known record of the group.
     sequence_before : int
@@ -132,7 +132,7 @@
         return StillUnknown("a promotion may have left the commit out")
     confirmed = confirmed_position(status_round, group)
     if confirmed is None or confirmed.sequence < position.sequence:
-        # A commit that a later term contains is not safe yet either: a primary that
+        # A commit that a later term contains is not durable yet either: a primary that
         # was promoted again can be the only member that holds it.
         return StillUnknown(f"too few replicas confirm it in term {group.term}")
     return RanInHistory() if starts else Confirmed()
--- a/src/radishtrack/group/promotion.py
+++ b/src/radishtrack/group/promotion.py
@@ -52,19 +52,19 @@
     """One attempt; `handle` is its only entry point."""
 
     def handle(self, message: Message, now_ms: float) -> tuple[Action, ...]:
-        """Advance by one message.
+        """Process one message.
 
         Parameters
         ----------
         message : Message
-            What happened.
+            The event.
         now_ms : float
             Current time in milliseconds.
 
         Returns
         -------
         tuple of Action
-            What the caller does next, in this order.
+            Actions for the caller, to be carried out in this order.
         """
         if self.is_over:
             return ()
@@ -97,41 +97,45 @@
     return attempt
 
 
-def _suspect(
+def _handle_suspect(
     attempt: AttemptState, message: Message, now_ms: float
 ) -> Iterator[Action]:
     match message:
         case PrimarySuspected():
-            attempt.enter("suspected", now_ms)
+            attempt.enter_step("suspected", now_ms)
             yield CollectVotes()
         case FencingAbandoned():
-            attempt.takes_over = True
-            attempt.enter("took_over", now_ms)
+            attempt.is_takeover = True
+            attempt.enter_step("took_over", now_ms)
             yield ReadGroup()
         case PrimaryResponded():
-            attempt.end("gave_up", "the primary answers again")
+            attempt.end("gave_up", "the primary responds again")
 
 
-def _vote(attempt: AttemptState, message: Message, now_ms: float) -> Iterator[Action]:
+def _handle_voting(
+    attempt: AttemptState, message: Message, now_ms: float
+) -> Iterator[Action]:
     match message:
         case VotesReceived(votes):
-            for voter, unreachable in votes.items():
-                attempt.tally.record(voter, unreachable, now_ms)
+            for voter, is_unreachable in votes.items():
+                attempt.tally.record(voter, is_unreachable, now_ms)
             if attempt.tally.has_majority(now_ms):
-                attempt.enter("agreed", now_ms)
+                attempt.enter_step("agreed", now_ms)
                 yield ReadGroup()
         case PrimaryResponded():
-            attempt.end("gave_up", "the primary answers again")
+            attempt.end("gave_up", "the primary responds again")
         case DeadlinePassed():
             if attempt.tries >= TRY_LIMIT:
                 attempt.end("gave_up", "no majority of voters reports a failure")
                 return
             attempt.tries += 1
-            attempt.wait(now_ms)
+            attempt.restart_timeout(now_ms)
             yield CollectVotes()
 
 
-def _read(attempt: AttemptState, message: Message, now_ms: float) -> Iterator[Action]:
+def _handle_reading(
+    attempt: AttemptState, message: Message, now_ms: float
+) -> Iterator[Action]:
     match message:
         case GroupRead(group):
             yield AdoptGroup(group)
@@ -139,38 +143,40 @@
                 attempt.end("superseded", f"term {group.term} is recorded already")
                 return
             attempt.group = group
-            attempt.unanswered = set(group.members)
-            attempt.enter("read", now_ms)
+            attempt.pending_members = set(group.members)
+            attempt.enter_step("read", now_ms)
             yield FenceMembers(group.members, group, attempt.new_term)
-        case PrimaryResponded() if not attempt.takes_over:
-            attempt.end("gave_up", "the primary answers again")
+        case PrimaryResponded() if not attempt.is_takeover:
+            attempt.end("gave_up", "the primary responds again")
         case PlatformDidNotRespond():
             attempt.back_off(now_ms)
         case DeadlinePassed():
-            if attempt.takes_over or attempt.tally.has_majority(now_ms):
-                # Backs off from now on, so that a platform without answers is not
-                # asked at a fixed rate by every holder.
+            if attempt.is_takeover or attempt.tally.has_majority(now_ms):
+                # The backoff keeps the holders from polling an unresponsive platform
+                # at a fixed rate.
                 attempt.deadline_ms = now_ms + STEP_TIMEOUT_MS + attempt.backoff_ms
                 yield ReadGroup()
                 return
-            attempt.enter("votes_expired", now_ms)
+            attempt.enter_step("votes_expired", now_ms)
             yield CollectVotes()
 
 
-def _fence(attempt: AttemptState, message: Message, now_ms: float) -> Iterator[Action]:
+def _handle_fencing(
+    attempt: AttemptState, message: Message, now_ms: float
+) -> Iterator[Action]:
     timed_out = False
     match message:
         case MemberFenced(status):
             attempt.fenced[status.member] = status
-            attempt.unanswered.discard(status.member)
+            attempt.pending_members.discard(status.member)
         case MemberUnreachable(member) | MemberRefused(member):
-            attempt.unanswered.discard(member)
+            attempt.pending_members.discard(member)
         case DeadlinePassed():
             timed_out = True
-    # A silent primary is why the attempt began; waiting for its answer would lengthen
-    # the gap of writes by a whole timeout.
-    expected = set() if attempt.takes_over else {attempt.group.primary}
-    if not attempt.unanswered <= expected and not timed_out:
+    # The attempt began because the primary is unresponsive; waiting for its response
+    # would lengthen the write outage by a whole timeout.
+    optional_members = set() if attempt.is_takeover else {attempt.group.primary}
+    if not attempt.pending_members <= optional_members and not timed_out:
         return
     choice = elect(
         attempt.fenced.values(), attempt.group, attempt.new_term, attempt.leaving
@@ -178,7 +184,7 @@
     match choice:
         case Elected():
             attempt.new_group = _make_new_group(attempt, choice)
-            attempt.enter("elected", now_ms)
+            attempt.enter_step("elected", now_ms)
             yield RecordGroup(attempt.new_group, attempt.group.version)
         case NotElected(reason):
             if not timed_out:
@@ -187,13 +193,13 @@
                 attempt.end("gave_up", reason)
                 return
             attempt.tries += 1
-            attempt.wait(now_ms)
+            attempt.restart_timeout(now_ms)
             missing = tuple(
                 member
                 for member in attempt.group.members
                 if member not in attempt.fenced
             )
-            attempt.unanswered = set(missing)
+            attempt.pending_members = set(missing)
             yield FenceMembers(missing, attempt.group, attempt.new_term)
 
 
@@ -208,26 +214,28 @@
     )
 
 
-def _record(attempt: AttemptState, message: Message, now_ms: float) -> Iterator[Action]:
+def _handle_recording(
+    attempt: AttemptState, message: Message, now_ms: float
+) -> Iterator[Action]:
     assert attempt.new_group is not None
     match message:
         case GroupRecorded(version):
             attempt.new_group = attrs.evolve(attempt.new_group, version=version)
-            yield from _install_recorded(attempt, now_ms)
+            yield from _start_installing(attempt, now_ms)
         case GroupRead(group) if group.attempt == attempt.attempt_id:
             attempt.new_group = group
-            yield from _install_recorded(attempt, now_ms)
+            yield from _start_installing(attempt, now_ms)
         case GroupRead(group) if group.version == attempt.group.version:
-            # The update was lost or is still under way. The same update again is
-            # harmless: the version lets at most one of the two through.
-            attempt.wait(now_ms)
+            # The update was lost or is still in flight. Repeating it is safe: the
+            # platform accepts at most one of the two for this version.
+            attempt.restart_timeout(now_ms)
             yield RecordGroup(attempt.new_group, attempt.group.version)
         case GroupRead(group):
             yield AdoptGroup(group)
             attempt.end("superseded", f"another attempt recorded term {group.term}")
         case RecordConflicted():
-            # The conflict can be with this attempt's own update, sent before.
-            attempt.wait(now_ms)
+            # The conflict can be with an earlier update of this attempt.
+            attempt.restart_timeout(now_ms)
             yield ReadGroup()
         case PlatformDidNotRespond():
             attempt.back_off(now_ms)
@@ -236,19 +244,19 @@
             yield ReadGroup()
 
 
-def _install_recorded(attempt: AttemptState, now_ms: float) -> Iterator[Action]:
+def _start_installing(attempt: AttemptState, now_ms: float) -> Iterator[Action]:
     assert attempt.new_group is not None
-    attempt.enter("recorded", now_ms)
+    attempt.enter_step("recorded", now_ms)
     yield AdoptGroup(attempt.new_group)
-    yield _promote_chosen(attempt)
+    yield _make_promote_action(attempt)
 
 
-def _promote_chosen(attempt: AttemptState) -> PromoteMember:
+def _make_promote_action(attempt: AttemptState) -> PromoteMember:
     assert attempt.new_group is not None
     return PromoteMember(attempt.new_group.primary, attempt.new_group)
 
 
-def _install(
+def _handle_installing(
     attempt: AttemptState, message: Message, now_ms: float
 ) -> Iterator[Action]:
     group = attempt.new_group
@@ -256,47 +264,48 @@
     match message:
         case MemberPromoted(member) if member == group.primary:
             if not attempt.is_promoted:
-                yield from _follow_promoted(attempt, group, now_ms)
+                yield from _start_following(attempt, group, now_ms)
         case MemberFollowed(member):
             attempt.followers.add(member)
-            attempt.unanswered.discard(member)
+            attempt.pending_members.discard(member)
         case MemberRefused(member, reason) if member == group.primary:
-            # A refusal means a higher fence; the record tells who holds the term.
+            # The member is fenced for a higher term; the record shows whether another
+            # attempt was recorded.
             attempt.reason = reason
             yield ReadGroup()
         case MemberUnreachable(member) | MemberRefused(member):
-            attempt.unanswered.discard(member)
-        case GroupRead(read) if read.term > group.term:
-            yield AdoptGroup(read)
-            attempt.end("superseded", f"term {read.term} is recorded already")
+            attempt.pending_members.discard(member)
+        case GroupRead(latest) if latest.term > group.term:
+            yield AdoptGroup(latest)
+            attempt.end("superseded", f"term {latest.term} is recorded already")
             return
         case DeadlinePassed() if attempt.is_promoted:
-            # Members that did not answer follow once they are polled again.
-            attempt.unanswered.clear()
+            # Members that did not respond follow once they are polled again.
+            attempt.pending_members.clear()
         case DeadlinePassed():
             if attempt.tries >= TRY_LIMIT:
                 attempt.end("gave_up", f"{group.primary} could not be promoted")
                 return
             attempt.tries += 1
-            attempt.wait(now_ms)
-            yield _promote_chosen(attempt)
+            attempt.restart_timeout(now_ms)
+            yield _make_promote_action(attempt)
     if attempt.is_promoted and _has_enough_followers(attempt, group):
         attempt.trigger("installed")
 
 
-def _follow_promoted(
+def _start_following(
     attempt: AttemptState, group: Group, now_ms: float
 ) -> Iterator[Action]:
     attempt.is_promoted = True
-    attempt.wait(now_ms)
+    attempt.restart_timeout(now_ms)
     others = tuple(member for member in group.members if member != group.primary)
-    attempt.unanswered = set(others)
+    attempt.pending_members = set(others)
     for member in others:
         yield FollowMember(member, group)
 
 
 def _has_enough_followers(attempt: AttemptState, group: Group) -> bool:
-    return not attempt.unanswered or len(
+    return not attempt.pending_members or len(
         attempt.followers
     ) >= count_confirming_replicas(group)
 
@@ -304,10 +313,10 @@
 _Handler = Callable[[AttemptState, Message, float], Iterator[Action]]
 
 _HANDLERS: Final[dict[Step, _Handler]] = {
-    Step.SUSPECT: _suspect,
-    Step.VOTING: _vote,
-    Step.READING: _read,
-    Step.FENCING: _fence,
-    Step.RECORDING: _record,
-    Step.INSTALLING: _install,
+    Step.SUSPECT: _handle_suspect,
+    Step.VOTING: _handle_voting,
+    Step.READING: _handle_reading,
+    Step.FENCING: _handle_fencing,
+    Step.RECORDING: _handle_recording,
+    Step.INSTALLING: _handle_installing,
 }
--- a/src/radishtrack/group/promotion_messages.py
+++ b/src/radishtrack/group/promotion_messages.py
@@ -1,4 +1,4 @@
-"""What a promotion attempt is told and what it asks for."""
+"""Messages to a promotion attempt and the actions that it requests."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @attrs.define(frozen=True)
 class PrimarySuspected:
-    """The primary gave this node no good answer for too long."""
+    """The primary reported no healthy status to this node for too long."""
 
 
 @attrs.define(frozen=True)
@@ -21,12 +21,12 @@
 
 @attrs.define(frozen=True)
 class PrimaryResponded:
-    """The suspected primary gave a good answer."""
+    """The suspected primary reported a healthy status."""
 
 
 @attrs.define(frozen=True)
 class VotesReceived:
-    """Voters reported; true means that the primary is unreachable for them."""
+    """Votes by voter; true means that the voter cannot reach the primary."""
 
     votes: Mapping[str, bool]
 
@@ -57,7 +57,7 @@
 
 @attrs.define(frozen=True)
 class MemberFenced:
-    """A member answered the fence command with its status after it."""
+    """A member carried out the fence command and returned its new status."""
 
     status: MemberStatus
 
@@ -78,7 +78,7 @@
 
 @attrs.define(frozen=True)
 class MemberRefused:
-    """A member answered a command with an error."""
+    """A member responded to a command with an error."""
 
     member: str
     reason: str
@@ -86,7 +86,7 @@
 
 @attrs.define(frozen=True)
 class MemberUnreachable:
-    """A member did not answer a command; it may have carried it out."""
+    """A member did not respond to a command; it may have carried it out."""
 
     member: str
 
@@ -116,7 +116,7 @@
 
 @attrs.define(frozen=True)
 class CollectVotes:
-    """Ask all voters whether the primary is unreachable."""
+    """Request the votes of all voters on whether the primary is unreachable."""
 
 
 @attrs.define(frozen=True)
@@ -128,16 +128,16 @@
 class FenceMembers:
     """Fence members for a term.
 
-    A member that carries a lower term than the group's record must first follow the
-    recorded term, which discards what a promotion left out: once fenced for the next
-    term it refuses to, and could not be elected.
+    A member in a lower term than the group's record must first follow the recorded
+    term, which discards what a promotion left out: once fenced for the next term it
+    refuses to follow, and could not be elected.
 
     Parameters
     ----------
     members : tuple of str
-        Members to fence; each answers for itself.
+        Members to fence; each responds separately.
     group : Group
-        The record in force.
+        The current record.
     term : int
         The term to fence for, one above the record's.
     """
@@ -197,7 +197,7 @@
 
 @attrs.define(frozen=True)
 class AdoptGroup:
-    """Use a newer record of the group from now on."""
+    """Replace the cached record of the group by a newer one."""
 
     group: Group
 
--- a/src/radishtrack/group/promotion_state.py
+++ b/src/radishtrack/group/promotion_state.py
@@ -12,21 +12,21 @@
 from radishtrack.group.status import Group, MemberStatus
 
 STEP_TIMEOUT_MS: Final = 500.0
-"""Time for the answers of one step. Every step may use it twice within the 7 s that a
-change of primary may take."""
+"""Timeout for the responses of one step. Every step can use it twice within the limit
+of 7 s for a change of primary."""
 
 MINIMUM_BACKOFF_MS: Final = 100.0
-"""First pause after a platform call without an answer."""
+"""First pause after a platform call without a response."""
 
 MAXIMUM_BACKOFF_MS: Final = 1_000.0
 """Longest pause between platform calls, so that a promotion resumes within a second."""
 
 TRY_LIMIT: Final = 3
-"""Number of times that one step asks voters or members before the attempt ends."""
+"""Number of times that a step queries voters or members before the attempt ends."""
 
 
 class Step(enum.Enum):
-    """Where an attempt stands."""
+    """Steps of a promotion attempt."""
 
     SUSPECT = "suspect"
     VOTING = "voting"
@@ -57,15 +57,15 @@
         Step.FAILED,
     ),
 )
-"""An attempt never gives up while recording: its update may still be carried out, and
-only the platform can tell."""
+"""An attempt never gives up while recording: its update may still be applied, and only
+the platform knows whether it was."""
 
 
 @attrs.define(slots=False, eq=False)
 class AttemptState:
     """State of one attempt.
 
-    The record is read before members are fenced, to see that the platform answers:
+    The record is read before members are fenced, to check that the platform responds:
     fencing during an outage of the platform would end strict reads without a promotion.
 
     Parameters
@@ -90,23 +90,23 @@
     """Time at which the attempt expects `DeadlinePassed`."""
     reason: str = ""
     """Why the attempt was lost or failed."""
-    takes_over: bool = False
+    is_takeover: bool = False
     tries: int = 0
     backoff_ms: float = MINIMUM_BACKOFF_MS
     fenced: dict[str, MemberStatus] = attrs.field(factory=dict)
-    unanswered: set[str] = attrs.field(factory=set)
+    pending_members: set[str] = attrs.field(factory=set)
     new_group: Group | None = None
     is_promoted: bool = False
     followers: set[str] = attrs.field(factory=set)
 
     @property
     def is_over(self) -> bool:
-        """Whether the attempt takes no more messages."""
+        """Whether the attempt ignores further messages."""
         return self.state in FINAL_STEPS
 
     @property
     def new_term(self) -> int:
-        """The term that the attempt tries to begin."""
+        """The term that the attempt tries to start."""
         return self.group.term + 1
 
     def end(self, trigger: str, reason: str) -> None:
@@ -114,15 +114,15 @@
         self.reason = reason
         self.trigger(trigger)
 
-    def enter(self, trigger: str, now_ms: float) -> None:
-        """Move to the next step and start its timeout."""
+    def enter_step(self, trigger: str, now_ms: float) -> None:
+        """Enter the next step and start its timeout."""
         self.trigger(trigger)
         self.tries = 1
         self.backoff_ms = MINIMUM_BACKOFF_MS
-        self.wait(now_ms)
+        self.restart_timeout(now_ms)
 
-    def wait(self, now_ms: float) -> None:
-        """Start the timeout of the current step again."""
+    def restart_timeout(self, now_ms: float) -> None:
+        """Restart the timeout of the current step."""
         self.deadline_ms = now_ms + STEP_TIMEOUT_MS
 
     def back_off(self, now_ms: float) -> None:
--- a/src/radishtrack/group/record.py
+++ b/src/radishtrack/group/record.py
@@ -1,4 +1,4 @@
-"""The platform's value of ``groups/<database>`` and its typed form."""
+"""Conversion of the platform object ``groups/<database>`` from and to a record."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 @attrs.define(frozen=True)
 class GroupRecord:
-    """A group and where its members are reached.
+    """A group and the endpoints of its members.
 
     Parameters
     ----------
     group : Group
         The group.
     endpoints : mapping of str to MemberEndpoint
-        One for each member, by name.
+        Endpoint of each member, by name.
     """
 
     group: Group
@@ -52,7 +52,7 @@
     Raises
     ------
     RecordError
-        If a field is missing or has the wrong form.
+        If a field is missing or is malformed.
     """
     try:
         endpoints = {
@@ -81,7 +81,9 @@
         message = f"groups/{database} is not a group record: {error!r}"
         raise RecordError(message) from error
     if group.primary not in endpoints:
-        raise RecordError(f"groups/{database} names no primary among its members")
+        raise RecordError(
+            f"groups/{database} names a primary that is not among its members"
+        )
     return GroupRecord(group, endpoints)
 
 
--- a/src/radishtrack/group/status.py
+++ b/src/radishtrack/group/status.py
@@ -1,4 +1,4 @@
-"""What a member reports about itself, and what the platform records of its group."""
+"""Status that a member reports, and the platform's record of its group."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Role(enum.Enum):
-    """The role that a member believes it has."""
+    """Role that a member reports for itself."""
 
     PRIMARY = "primary"
     REPLICA = "replica"
@@ -18,7 +18,7 @@
 
 @attrs.define(frozen=True)
 class MemberStatus:
-    """One answer of one member.
+    """Status that one member reported.
 
     Parameters
     ----------
@@ -30,7 +30,7 @@
         The highest term that the member was fenced for; it accepts nothing of a lower
         term. Equal to `term` for a member in normal service.
     role : Role
-        The role that the member believes it has.
+        The role that the member reports for itself.
     position : Position
         The end of the member's log.
     """
--- a/src/radishtrack/group/switchover.py
+++ b/src/radishtrack/group/switchover.py
@@ -1,7 +1,7 @@
-"""When a primary that is marked as leaving hands over to a replica.
+"""Conditions for a planned change of primary when the primary is leaving.
 
-The primary is fenced first, so that it commits nothing more; once a replica has all of
-its log, an ordinary promotion follows and chooses that replica. The outage is the lag
+The primary is fenced first, so that it commits nothing more; once a replica has its
+whole log, an ordinary promotion elects that replica. The write outage lasts for the lag
 of that replica instead of a detection time, and no commit is discarded.
 """
 
@@ -26,11 +26,11 @@
     group : Group
         The group's record.
     statuses : iterable of MemberStatus
-        Recent answers of the members.
+        Recent statuses of the members.
     leaving : frozenset of str
         Members that are being taken out of service.
     rank : int
-        This node's place in the placement order; only the first one starts.
+        This node's rank in the placement order; only rank 0 starts the change.
     """
     if rank != 0 or group.primary not in leaving:
         return False
@@ -55,7 +55,7 @@
     statuses: Iterable[MemberStatus],
     leaving: frozenset[str],
 ) -> bool:
-    """Tell whether a replica that stays has the whole log of the fenced primary."""
+    """Tell whether a replica that is not leaving has the fenced primary's whole log."""
     return any(
         status.position >= fenced_primary.position
         for status in _iterate_successors(statuses, group, leaving)
--- a/tests/test_group_decisions.py
+++ b/tests/test_group_decisions.py
@@ -34,7 +34,7 @@
     confirmed_position,
 )
 from radishtrack.group.freshness import make_freshness_samples
-from radishtrack.group.member_steps import start_to_follow
+from radishtrack.group.member_steps import find_follow_start
 from radishtrack.group.outcome import position_of_commit, resolve_commit
 from radishtrack.group.record import (
     GroupRecord,
@@ -229,7 +229,7 @@
 def test_a_returning_member_discards_what_any_missed_promotion_left_out(
     status: str, expected: int
 ) -> None:
-    assert start_to_follow(parse_status(status), make_group(3, 0, 10, 15)) == expected
+    assert find_follow_start(parse_status(status), make_group(3, 0, 10, 15)) == expected
 
 
 def make_record() -> GroupRecord:
