--- a/src/radishtrack/membership/drain.py
+++ b/src/radishtrack/membership/drain.py
@@ -10,8 +10,8 @@
 from transitions import Machine
 
 MIN_DRAIN_MS: Final = 1_000.0
-"""Time for peers and load balancer to learn that the node leaves, before it closes
-idle connections on which a statement may be on its way."""
+"""Time for peers and the load balancer to learn that the node is leaving, before it
+closes idle connections on which a statement may be in flight."""
 
 BEGIN: Final = "stop_accepting"
 CLOSE: Final = "close_connections"
@@ -32,7 +32,7 @@
 
     ACCEPT = "accept"
     REFUSE = "refuse"
-    """Not run; the client shall reconnect (error 9006)."""
+    """Nothing was run; the client should reconnect (error 9006)."""
 
 
 _TRANSITIONS: Final = [
@@ -58,14 +58,14 @@
     machine: Machine = attrs.field(init=False, repr=False, eq=False)
 
     def begin(self, now_ms: float) -> bool:
-        """Start the stop; returns False if it has started before."""
+        """Start the drain; returns False if it was started before."""
         if self.state is not DrainState.SERVING:
             return False
         self.started_ms = now_ms
         return self._fire(BEGIN)
 
     def advance(self, now_ms: float, statements: int, transactions: int) -> DrainState:
-        """Move on if the work is finished or the deadline has passed.
+        """Enter the next state if the work is finished or the deadline has passed.
 
         Parameters
         ----------
@@ -79,14 +79,14 @@
         Returns
         -------
         DrainState
-            The state from now on. In the state closing, the caller closes all
-            connections, rolls back what is open and then calls `end`.
+            The current state. In CLOSING, the caller closes all connections, rolls
+            back open transactions and then calls `end`.
         """
         if self.state is DrainState.DRAINING:
             is_idle = statements == 0 and transactions == 0
             waited_ms = now_ms - self.started_ms
-            has_finished = is_idle and waited_ms >= min(MIN_DRAIN_MS, self.timeout_ms)
-            if has_finished or waited_ms >= self.timeout_ms:
+            is_finished = is_idle and waited_ms >= min(MIN_DRAIN_MS, self.timeout_ms)
+            if is_finished or waited_ms >= self.timeout_ms:
                 self._fire(CLOSE)
         return self.state
 
@@ -113,7 +113,7 @@
 
 
 def make_drain(timeout_ms: float) -> Drain:
-    """Return the state of a node that serves."""
+    """Return the drain state of a serving node."""
     drain = Drain(timeout_ms)
     drain.machine = Machine(
         model=drain,
--- a/src/radishtrack/membership/nodes.py
+++ b/src/radishtrack/membership/nodes.py
@@ -1,4 +1,4 @@
-"""The view of the fleet: the platform's lagging list and what peers report."""
+"""A node's view of the fleet: the platform's lagging list and reports on peers."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 import attrs
 
 REFUSED_VALID_MS: Final = 10_000.0
-"""A refused connection counts for so long; the platform's list lags by seconds."""
+"""Time for which a refused connection counts; the platform's list lags by seconds."""
 
 LEAVING_VALID_MS: Final = 120_000.0
-"""A node that is still listed so long after announcing its stop has been restarted
-under the same identifier: the drain deadline is 30 s."""
+"""Time for which a leaving message counts. The drain deadline is 30 s, so a node that
+is still listed later has been restarted under the same identifier."""
 
 
 @attrs.define(frozen=True)
 class Node:
-    """A node as placement sees it.
+    """A node of the fleet.
 
     Parameters
     ----------
@@ -29,9 +29,9 @@
     region : str
         Its region.
     peer_address : str
-        Where peers reach it, as ``host:port``.
+        Address for peers, as ``host:port``.
     leaving : bool
-        Whether it takes no new work.
+        Whether it accepts no new work.
     """
 
     id: str
@@ -43,10 +43,10 @@
 
 @attrs.define
 class Report:
-    """What this node learned about another from peers and connections."""
+    """Reports about another node, from messages and connections."""
 
     incarnation: int = 0
-    """The highest incarnation heard of; a restarted node has a higher one."""
+    """The highest reported incarnation; a restarted node has a higher one."""
     leaving_until_ms: float = -math.inf
     refused_until_ms: float = -math.inf
 
@@ -64,9 +64,9 @@
     reports: dict[str, Report] = attrs.field(factory=dict)
 
     def apply_list(self, nodes: Iterable[Node]) -> None:
-        """Take the platform's list of nodes.
+        """Replace the platform's list of nodes.
 
-        A node that is no longer listed is forgotten with all reports about it.
+        Reports about nodes that are no longer listed are dropped.
         """
         self.listed = {node.id: node for node in nodes}
         self.reports = {
@@ -76,8 +76,8 @@
         }
 
     def record_response(self, node_id: str, incarnation: int) -> None:
-        """Record that a node answered, which ends reports of earlier incarnations."""
-        report = self._find_report(node_id)
+        """Record a response, which invalidates reports of earlier incarnations."""
+        report = self._get_report(node_id)
         if incarnation < report.incarnation:
             return
         report.refused_until_ms = -math.inf
@@ -86,18 +86,18 @@
             report.leaving_until_ms = -math.inf
 
     def record_leaving(self, node_id: str, incarnation: int, now_ms: float) -> None:
-        """Record a leaving message; one of an earlier incarnation is out of date."""
-        report = self._find_report(node_id)
+        """Record a leaving message; one of an earlier incarnation is ignored."""
+        report = self._get_report(node_id)
         if incarnation >= report.incarnation:
             report.incarnation = incarnation
             report.leaving_until_ms = now_ms + LEAVING_VALID_MS
 
     def record_refusal(self, node_id: str, now_ms: float) -> None:
         """Record that a node refused a connection or could not be reached."""
-        self._find_report(node_id).refused_until_ms = now_ms + REFUSED_VALID_MS
+        self._get_report(node_id).refused_until_ms = now_ms + REFUSED_VALID_MS
 
     def list_nodes(self, now_ms: float) -> tuple[Node, ...]:
-        """Return all known nodes by identifier; those to avoid are marked leaving."""
+        """Return all known nodes in order of ID; those to avoid are marked leaving."""
         nodes = {self.own.id: self.own, **self.listed}
         if self.own.leaving:
             nodes[self.own.id] = self.own
@@ -119,7 +119,7 @@
             return node
         return attrs.evolve(node, leaving=True)
 
-    def _find_report(self, node_id: str) -> Report:
+    def _get_report(self, node_id: str) -> Report:
         return self.reports.setdefault(node_id, Report())
 
 
--- a/src/radishtrack/membership/placement.py
+++ b/src/radishtrack/membership/placement.py
@@ -13,7 +13,7 @@
 from radishtrack.membership.nodes import Node
 
 MIN_VOTERS: Final = 3
-"""With fewer voters, one node's network problem could depose a primary."""
+"""With fewer voters, one node's network problem could replace a primary."""
 
 ZoneOrders = dict[str, list[str]]
 """Identifiers of a region's nodes for one database, best first, by zone."""
@@ -21,8 +21,8 @@
 
 def compute_weight(database: str, node_id: str) -> int:
     """Return the rendezvous weight of a node for a database; the lowest is best."""
-    content = f"{database}\0{node_id}".encode()
-    return int.from_bytes(hashlib.blake2b(content, digest_size=8).digest(), "big")
+    hashed_key = f"{database}\0{node_id}".encode()
+    return int.from_bytes(hashlib.blake2b(hashed_key, digest_size=8).digest(), "big")
 
 
 def rank_nodes(
@@ -37,9 +37,9 @@
     region : str
         Region of the database.
     count : int
-        Number of nodes wanted.
+        Number of nodes to return.
     nodes : iterable of Node
-        All known nodes; those of other regions and leaving ones are passed over.
+        All known nodes; those of other regions and leaving ones are skipped.
 
     Returns
     -------
@@ -78,7 +78,9 @@
 def rank_voters(
     database: str, region: str, slots: int, nodes: Iterable[Node]
 ) -> tuple[str, ...]:
-    """Return the nodes that vote on a database's primary: the holders and at least 3.
+    """Return the nodes that vote on a database's primary.
+
+    They are the holders, and other nodes up to `MIN_VOTERS` if there are fewer holders.
 
     Parameters and order are as for `place_slots`.
     """
@@ -89,13 +91,13 @@
 class Placement:
     """Placement of a changing membership view.
 
-    Orders are kept for each database and zone, so that a node that comes or goes costs
-    one search for each database instead of a hash for each database and node.
+    Orders are cached for each database and zone, so that adding or removing a node
+    costs one search per database instead of one hash per database and node.
     """
 
     nodes: dict[str, Node] = attrs.field(factory=dict)
     orders: dict[tuple[str, str], ZoneOrders] = attrs.field(factory=dict)
-    places: dict[tuple[str, str, int], tuple[str, ...]] = attrs.field(factory=dict)
+    rankings: dict[tuple[str, str, int], tuple[str, ...]] = attrs.field(factory=dict)
 
     def place_slots(self, database: str, region: str, slots: int) -> tuple[str, ...]:
         """Return the nodes that hold a database's slots, best first."""
@@ -106,39 +108,39 @@
         return self._rank(database, region, max(MIN_VOTERS, slots))
 
     def set_nodes(self, nodes: Iterable[Node]) -> bool:
-        """Use another view; returns whether it differs from the present one."""
+        """Replace the view; returns whether a node joined, left or changed zone."""
         present = {node.id: node for node in nodes if not node.leaving}
-        gone = [old for key, old in self.nodes.items() if not _is_same(old, present)]
-        new = [node for node in present.values() if not _is_same(node, self.nodes)]
+        removed = [old for key, old in self.nodes.items() if not _is_same(old, present)]
+        added = [node for node in present.values() if not _is_same(node, self.nodes)]
         self.nodes = present
         for (database, region), zones in self.orders.items():
-            for node in gone:
+            for node in removed:
                 if node.region == region:
                     zones[node.zone].remove(node.id)
-            for node in new:
+            for node in added:
                 if node.region == region:
                     _insert_node(database, zones.setdefault(node.zone, []), node.id)
-        if gone or new:
-            self.places.clear()
-        return bool(gone or new)
+        if removed or added:
+            self.rankings.clear()
+        return bool(removed or added)
 
-    def forget_databases(self, known: Iterable[str]) -> None:
-        """Drop what is kept for databases that are not among the `known`."""
-        kept = set(known)
+    def retain_databases(self, names: Iterable[str]) -> None:
+        """Drop the cached orders of all databases that are not among `names`."""
+        kept = set(names)
         self.orders = {key: o for key, o in self.orders.items() if key[0] in kept}
-        self.places = {key: p for key, p in self.places.items() if key[0] in kept}
+        self.rankings = {key: p for key, p in self.rankings.items() if key[0] in kept}
 
     def _rank(self, database: str, region: str, count: int) -> tuple[str, ...]:
         key = (database, region, count)
-        place = self.places.get(key)
-        if place is None:
+        ranking = self.rankings.get(key)
+        if ranking is None:
             zones = self.orders.get((database, region))
             if zones is None:
                 eligible = (n for n in self.nodes.values() if n.region == region)
                 zones = _order_zones(database, eligible)
                 self.orders[database, region] = zones
-            place = self.places[key] = _merge_zones(database, count, zones)
-        return place
+            ranking = self.rankings[key] = _merge_zones(database, count, zones)
+        return ranking
 
 
 def make_placement(nodes: Iterable[Node] = ()) -> Placement:
@@ -160,12 +162,12 @@
 
 
 def _merge_zones(database: str, count: int, zones: ZoneOrders) -> tuple[str, ...]:
-    heads = (
-        (place, compute_weight(database, node_id), node_id)
+    candidates = (
+        (rank, compute_weight(database, node_id), node_id)
         for order in zones.values()
-        for place, node_id in enumerate(order[:count])
+        for rank, node_id in enumerate(order[:count])
     )
-    return tuple(node_id for _, _, node_id in heapq.nsmallest(count, heads))
+    return tuple(node_id for _, _, node_id in heapq.nsmallest(count, candidates))
 
 
 def _is_same(node: Node, others: dict[str, Node]) -> bool:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -115,7 +115,7 @@
                 database, "r", 2, nodes
             )
     assert not placement.set_nodes(nodes)
-    placement.forget_databases(DATABASES[:1])
+    placement.retain_databases(DATABASES[:1])
     assert {key[0] for key in placement.orders} <= {DATABASES[0]}
 
 
