--- a/tests/features/group_decisions.feature
+++ b/tests/features/group_decisions.feature
@@ -4,11 +4,11 @@
 
   Scenario Outline: strict reads of a group of <size> in term 2 with primary a
     Given a group of <size> members in term 2 that began at 10
-    When a round returns "<answers>"
+    When a round returns "<statuses>"
     Then a strict read runs on "<choice>"
 
     Examples:
-      | size | answers                                     | choice        |
+      | size | statuses                                    | choice        |
       | 3    | a:2/2/P/14 b:2/2/R/12 c:2/2/R/13            | replicas c    |
       | 3    | a:2/2/P/14 b:2/2/R/13 c:2/2/R/13            | replicas b c  |
       | 3    | b:2/2/R/12 c:2/2/R/13                       | replicas c    |
@@ -33,11 +33,11 @@
 
   Scenario Outline: confirmed position of a group of <size>
     Given a group of <size> members in term 2 that began at 10
-    When a round returns "<answers>"
+    When a round returns "<statuses>"
     Then the confirmed sequence is "<sequence>"
 
     Examples:
-      | size | answers                                     | sequence |
+      | size | statuses                                    | sequence |
       | 3    | a:2/2/P/14 b:2/2/R/12 c:2/2/R/13            | 13       |
       | 3    | a:2/2/P/14 b:2/3/R/14 c:2/2/R/11            | 11       |
       | 3    | a:2/2/P/14 b:1/2/R/14                       | none     |
@@ -50,11 +50,11 @@
 
   Scenario Outline: outcome of a commit of term <term> between <before> and <after>
     Given a group of 3 members in term 3 that began at 20, after term 2 at 10
-    When a round returns "<answers>"
+    When a round returns "<statuses>"
     Then a commit of term <term> between <before> and <after> is "<outcome>"
 
     Examples:
-      | term | before | after | answers               | outcome        |
+      | term | before | after | statuses              | outcome        |
       | 3    | 20     | 21    | b:3/3/R/21            | Confirmed      |
       | 3    | 20     | 21    | b:3/3/R/20 c:3/4/R/21 | StillUnknown   |
       | 3    | 20     | 21    |                       | StillUnknown   |
@@ -69,11 +69,11 @@
 
   Scenario Outline: election for term 3 with <leaving> leaving
     Given a group of 3 members in term 2 that began at 10
-    When members answer the fence with "<answers>" and "<leaving>" are leaving
+    When members respond to the fence with "<statuses>" and "<leaving>" are leaving
     Then "<chosen>" is elected from <start>
 
     Examples:
-      | answers                          | leaving | chosen | start |
+      | statuses                         | leaving | chosen | start |
       | a:2/3/P/14 b:2/3/R/12            |         | a      | 14    |
       | b:2/3/R/12 c:2/3/R/13            |         | c      | 13    |
       | b:2/3/R/13 c:2/3/R/13            |         | b      | 13    |
--- a/tests/features/promotion_attempt.feature
+++ b/tests/features/promotion_attempt.feature
@@ -1,11 +1,11 @@
 Feature: One promotion attempt under faults
 
   # Faults are written as step:fault,...; each fault hits one call of the step in order.
-  # silent: no answer; lost: carried out but not answered; refused: an error answer.
+  # silent: no response; lost: carried out, response lost; refused: error response.
   # raced: another promoter records the term first.
 
   Scenario Outline: an attempt with faults <faults>
-    Given a group of three members whose primary a is gone
+    Given a group of three members whose primary a is down
     When node p promotes with faults "<faults>"
     Then the attempt is <end> with term <term> and primary <primary>
     And it took at most <limit> ms
--- a/tests/group_model.py
+++ b/tests/group_model.py
@@ -10,12 +10,12 @@
 
 
 class RefusedStatement(Exception):
-    """The member answers with an error."""
+    """The member rejected a statement."""
 
 
 @attrs.define
 class ModelMember:
-    """A member whose log holds (term, commit number) entries; survives restarts."""
+    """A member; its state and log of (term, commit number) entries survive restarts."""
 
     name: str
     role: Role = Role.REPLICA
@@ -27,16 +27,16 @@
     is_up: bool = True
 
     def status(self) -> MemberStatus:
-        """Return what the member reports."""
+        """Return the member's status."""
         position = Position(self.log[-1][0] if self.log else 0, len(self.log))
         return MemberStatus(self.name, self.term, self.fenced_term, self.role, position)
 
-    def ids(self) -> set[int]:
+    def commit_numbers(self) -> set[int]:
         """Return the numbers of the commits in the log."""
         return {number for _, number in self.log}
 
     def run(self, statement: Statement) -> MemberStatus:
-        """Carry out one statement in one step."""
+        """Carry out one statement atomically."""
         match statement:
             case Fence(term):
                 self._require(term >= self.fenced_term)
@@ -67,13 +67,13 @@
         return True
 
     def replicate(self, source: ModelMember, limit: int) -> None:
-        """Pull up to `limit` entries; enters the term at the first contact."""
+        """Pull up to `limit` entries; the first contact sets the member's term."""
         follows = self.role is Role.REPLICA and self.fenced_term <= self.follow_term
         serves = source.role is Role.PRIMARY and source.term == self.follow_term
         if not (follows and serves):
             return
-        # No check of the log as a real source may make: what a member has to discard
-        # follows from the statements alone.
+        # Unlike a real source, the model does not check the replica's log: the
+        # statements alone must make a member discard what it has to.
         assert source.log[: len(self.log)] == self.log, "a replica's log diverged"
         self.term = self.follow_term
         self.log.extend(source.log[len(self.log) :][:limit])
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -13,7 +13,7 @@
     parsers.parse('a stop that began {elapsed} ms ago with the work "{work}"'),
     target_fixture="drain",
 )
-def start_stop(elapsed: str, work: str) -> Drain:
+def start_drain(elapsed: str, work: str) -> Drain:
     drain = make_drain(30_000)
     statements, transactions = (int(number) for number in work.split("/"))
     if elapsed != "-":
@@ -43,7 +43,7 @@
     assert drain.decide_statement(in_transaction=True).value == decision
 
 
-def test_a_stop_passes_every_state_once_and_never_goes_back() -> None:
+def test_drain_enters_every_state_once_and_never_returns() -> None:
     drain = make_drain(30_000)
     assert not drain.end()
     assert drain.begin(0)
@@ -56,7 +56,7 @@
     assert not drain.end()
 
 
-def test_two_nodes_in_one_process_have_separate_states() -> None:
+def test_drains_of_two_nodes_are_independent() -> None:
     first, second = make_drain(1), make_drain(1)
     first.begin(0)
     assert second.state is DrainState.SERVING
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -28,21 +28,23 @@
 scenarios("features/freshness.feature")
 
 
-def read_time(seconds: str) -> float:
+def parse_time_ms(seconds: str) -> float:
     return -math.inf if seconds == "-" else NOW_MS - float(seconds) * 1_000
 
 
-def read_contact(text: str) -> PeerContact:
-    heard, platform, copy = text.split(":")
-    return PeerContact("p", read_time(heard), platform == "down", read_time(copy))
+def parse_contact(text: str) -> PeerContact:
+    contact, platform, copy = text.split(":")
+    return PeerContact(
+        "p", parse_time_ms(contact), platform == "down", parse_time_ms(copy)
+    )
 
 
 @given(
-    parsers.parse("the platform answered {contact} seconds ago"),
+    parsers.parse("the platform responded {contact} seconds ago"),
     target_fixture="contact_ms",
 )
 def contact_ms(contact: str) -> float:
-    return read_time(contact)
+    return parse_time_ms(contact)
 
 
 @given(
@@ -50,7 +52,7 @@
     target_fixture="decision",
 )
 def decide(contact_ms: float, peers: str, count: str) -> Freshness:
-    contacts = [read_contact(text) for text in peers.split()]
+    contacts = [parse_contact(text) for text in peers.split()]
     return decide_freshness(NOW_MS, contact_ms, contacts, int(count))
 
 
@@ -65,14 +67,14 @@
             assert REASONS[expected] in reason
 
 
-def test_a_node_refuses_until_it_first_reaches_the_platform() -> None:
+def test_node_refuses_until_it_first_reaches_the_platform() -> None:
     state = make_contact_state()
     assert state.check(0) is not None
     state.note_platform(100)
     assert state.check(DECISION_VALID_MS) is None
 
 
-def test_a_cut_off_node_lives_on_peers_copies_and_logs_each_change_once(
+def test_cut_off_node_uses_copies_of_peers_and_logs_each_change_once(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level("INFO")
@@ -91,7 +93,7 @@
     assert caplog.text.count("R2004") == 2
 
 
-def test_late_answers_and_strangers_do_not_count() -> None:
+def test_late_responses_and_unknown_peers_are_ignored() -> None:
     state = make_contact_state()
     state.set_peers(frozenset({"a"}))
     state.note_peer("a", 5_000, platform_down=True)
@@ -105,7 +107,7 @@
     assert state.platform_ms == 7_000
 
 
-def test_a_decision_is_kept_for_a_moment() -> None:
+def test_decision_is_cached_for_a_short_time() -> None:
     state = make_contact_state()
     state.note_platform(0)
     assert state.check(30_000) is None
@@ -113,8 +115,8 @@
     assert state.check(30_000 + DECISION_VALID_MS) is not None
 
 
-def test_a_region_that_is_parted_from_the_others_goes_on() -> None:
-    """Counted over the whole fleet, the smaller region would refuse everything."""
+def test_partitioned_region_continues_to_serve() -> None:
+    """If the whole fleet counted, the smaller region would refuse everything."""
     state = make_contact_state()
     state.note_platform(0.0)
     fleet = frozenset({"a", "b", "x1", "x2", "x3", "x4"})
--- a/tests/test_group_decisions.py
+++ b/tests/test_group_decisions.py
@@ -1,7 +1,7 @@
-"""Guards the decisions on a group's term: each row is a fault and its consequence.
+"""Guards the decisions on a group's term: each row is a fault and the decision.
 
-A wrong row here means an outdated read, a lost or invented commit, or a promotion that
-one node's network fault could cause.
+A wrong decision means an outdated read, a lost commit, a wrong outcome, or a promotion
+because of one node's network fault.
 """
 
 from __future__ import annotations
@@ -67,7 +67,7 @@
     return Group("strekk-db", 7, len(starts), "a", names, history)
 
 
-def describe(choice: StrictChoice) -> str:
+def format_choice(choice: StrictChoice) -> str:
     match choice:
         case ServeReplicas(members, _):
             return " ".join(["replicas", *members])
@@ -95,14 +95,14 @@
     return make_group(3, 0, 10, 20)
 
 
-@when(parsers.re('a round returns "(?P<answers>.*)"'), target_fixture="status_round")
-def round_returns(answers: str) -> StatusRound:
-    return parse_round(answers)
+@when(parsers.re('a round returns "(?P<statuses>.*)"'), target_fixture="status_round")
+def round_returns(statuses: str) -> StatusRound:
+    return parse_round(statuses)
 
 
 @then(parsers.re('a strict read runs on "(?P<choice>.*)"'))
 def strict_read_runs(status_round: StatusRound, group: Group, choice: str) -> None:
-    assert describe(choose_strict(status_round, group)) == choice
+    assert format_choice(choose_strict(status_round, group)) == choice
 
 
 @then(parsers.re('the confirmed sequence is "(?P<sequence>.*)"'))
@@ -131,14 +131,14 @@
 
 @when(
     parsers.re(
-        'members answer the fence with "(?P<answers>.*)"'
+        'members respond to the fence with "(?P<statuses>.*)"'
         ' and "(?P<leaving>.*)" are leaving'
     ),
     target_fixture="election",
 )
-def members_fenced(group: Group, answers: str, leaving: str) -> Elected | NotElected:
-    statuses = parse_round(answers).statuses.values()
-    return elect(statuses, group, 3, frozenset(leaving.split()))
+def members_fenced(group: Group, statuses: str, leaving: str) -> Elected | NotElected:
+    fenced = parse_round(statuses).statuses.values()
+    return elect(fenced, group, 3, frozenset(leaving.split()))
 
 
 @then(parsers.parse('"{chosen}" is elected from {start:d}'))
@@ -156,8 +156,8 @@
     tally = make_vote_tally(("p", "q", "r"))
     for word in votes.split():
         voter, vote = word.split(":")
-        answer, time = vote.split("@")
-        tally.record(voter, answer == "yes", float(time))
+        report, time_ms = vote.split("@")
+        tally.record(voter, report == "yes", float(time_ms))
     return tally
 
 
@@ -166,7 +166,7 @@
     assert vote_tally.has_majority(now) is (result == "agreed")
 
 
-def test_a_member_is_suspected_only_after_the_whole_time_without_an_answer() -> None:
+def test_member_is_suspected_after_the_whole_time_without_a_response() -> None:
     suspicion = Suspicion()
     suspicion.set_members(("a",), 0.0)
     suspicion.answered("a", 100.0)
@@ -179,17 +179,17 @@
     ("status", "expected"),
     [("a:2/2/P/9", True), ("a:1/2/R/9", False), ("a:2/2/R/9", False)],
 )
-def test_a_recorded_primary_that_was_never_installed_is_suspected(
+def test_recorded_primary_that_was_never_promoted_is_suspected(
     status: str, expected: bool
 ) -> None:
     assert is_healthy_status(parse_status(status), make_group(3, 0, 9)) is expected
 
 
-def test_each_rank_waits_longer_so_that_attempts_seldom_race() -> None:
+def test_start_delay_grows_with_the_rank() -> None:
     assert [start_delay_ms(rank) for rank in range(3)] == [0.0, 500.0, 1000.0]
 
 
-def test_fencing_without_a_promotion_is_completed_after_a_second() -> None:
+def test_fencing_without_a_promotion_counts_as_abandoned_after_a_second() -> None:
     watch, group = FencingWatch(), make_group(3, 0, 9)
     fenced = parse_status("b:2/3/R/9")
     watch.observe([fenced], group, 0.0)
@@ -216,7 +216,7 @@
     assert samples.age_ms(parse_status("b:3/3/R/30"), 4000.0) == 1000.0
 
 
-def test_a_position_read_after_a_change_of_term_covers_no_commit() -> None:
+def test_position_read_after_a_change_of_term_covers_no_commit() -> None:
     group = make_group(3, 0, 10)
     assert position_of_commit(parse_status("a:2/2/P/14"), group) == Position(2, 14)
     assert position_of_commit(parse_status("a:3/3/P/14"), group) is None
@@ -226,7 +226,7 @@
 @pytest.mark.parametrize(
     ("status", "expected"), [("c:1/3/R/20", 10), ("c:1/3/R/8", 15), ("c:2/3/R/17", 15)]
 )
-def test_a_returning_member_discards_what_any_missed_promotion_left_out(
+def test_returning_member_discards_what_any_missed_promotion_left_out(
     status: str, expected: int
 ) -> None:
     assert find_follow_start(parse_status(status), make_group(3, 0, 10, 15)) == expected
@@ -239,13 +239,13 @@
     return GroupRecord(make_group(3, 0, 10), endpoints)
 
 
-def test_a_group_record_survives_the_platform() -> None:
+def test_group_record_is_parsed_as_formatted() -> None:
     record = make_record()
     assert parse_record("strekk-db", 7, format_record(record)) == record
 
 
 @pytest.mark.parametrize("field", ["term", "primary", "members", "history"])
-def test_an_incomplete_group_record_is_refused(field: str) -> None:
+def test_incomplete_group_record_is_rejected(field: str) -> None:
     value = format_record(make_record())
     del value[field]
     with pytest.raises(RecordError):
--- a/tests/test_group_failover.py
+++ b/tests/test_group_failover.py
@@ -1,6 +1,6 @@
 """Guards the monitor and the promoter against members and a platform that fail.
 
-Runs against the stand-ins over loopback in one process; times are real, so nothing here
+Runs against the stand-ins over loopback in one process. Times are real, so no check
 depends on how fast the machine is.
 """
 
@@ -46,7 +46,7 @@
 
 @attrs.define
 class Fleet:
-    """Three members, the platform and the parts of two holders."""
+    """Three members, the platform, and the monitors and promoters of two holders."""
 
     members: dict[str, RunningMember]
     platform: RunningPlatform
@@ -57,7 +57,7 @@
     store: GroupStore
 
     async def read(self) -> GroupRecord:
-        """Return the record in force."""
+        """Return the current record."""
         return await self.store.read(DATABASE)
 
     async def wait_for_term(self, term: int) -> GroupRecord:
@@ -163,7 +163,7 @@
             await member.close()
 
 
-async def test_a_commit_is_confirmed_and_a_strict_read_finds_a_replica(
+async def test_commit_is_confirmed_and_strict_read_finds_a_replica(
     tmp_path: Path,
 ) -> None:
     async with run_fleet(tmp_path) as fleet:
@@ -174,12 +174,12 @@
             *(monitor.wait_confirmed(status.position, 1, deadline_ms) for _ in range(9))
         )
         assert outcomes == [Confirmed()] * 9
-        asked_ms = fleet.clock.now_ms()
+        requested_ms = fleet.clock.now_ms()
         rounds = await asyncio.gather(
             *(monitor.next_round(deadline_ms) for _ in range(9))
         )
         assert all(item is rounds[0] for item in rounds), "callers share a round"
-        assert rounds[0].started_ms >= asked_ms
+        assert rounds[0].started_ms >= requested_ms
         choice = choose_strict(rounds[0], monitor.group)
         assert isinstance(choice, ServeReplicas | ServeReplicasAtLeast)
         await asyncio.sleep(0.6)
@@ -200,38 +200,43 @@
         assert isinstance(choose_strict(status_round, monitor.group), NoEvidence)
 
 
-async def test_a_silent_primary_is_replaced_and_returns_as_a_replica(
+async def test_unresponsive_primary_is_replaced_and_returns_as_a_replica(
     tmp_path: Path,
 ) -> None:
     async with run_fleet(tmp_path) as fleet:
-        kept = await fleet.write("a", "CREATE TABLE orders (number INT PRIMARY KEY)")
+        confirmed_write = await fleet.write(
+            "a", "CREATE TABLE orders (number INT PRIMARY KEY)"
+        )
         monitor = fleet.monitors["q"]
         deadline_ms = fleet.clock.now_ms() + 5_000
         assert (
-            await monitor.wait_confirmed(kept.position, 1, deadline_ms) == Confirmed()
+            await monitor.wait_confirmed(confirmed_write.position, 1, deadline_ms)
+            == Confirmed()
         )
         fleet.members["a"].member.faults.set(cut_replication=True)
-        lost = await fleet.write("a", "INSERT INTO orders VALUES (1)")
+        unconfirmed_write = await fleet.write("a", "INSERT INTO orders VALUES (1)")
         stopped_ms = fleet.clock.now_ms()
         fleet.members["a"].member.faults.set(freeze=True)
         fleet.platform.faults.lose_answers_count = 1
         record = await fleet.wait_for_term(2)
-        print(f"gap of writes: {fleet.clock.now_ms() - stopped_ms:.0f} ms")
+        print(f"write outage: {fleet.clock.now_ms() - stopped_ms:.0f} ms")
         assert record.group.primary in ("b", "c")
-        for node in fleet.promoters.values():
-            node.update_record(record)
+        for promoter in fleet.promoters.values():
+            promoter.update_record(record)
         outcome = await monitor.wait_confirmed(
-            lost.position,
+            unconfirmed_write.position,
             1,
             fleet.clock.now_ms() + 5_000,
-            sequence_before=kept.position.sequence,
+            sequence_before=confirmed_write.position.sequence,
         )
         assert outcome == DidNotRun()
         status = await fleet.write(
             record.group.primary, "INSERT INTO orders VALUES (2)"
         )
-        term, later_ms = record.group.term, fleet.clock.now_ms() + 5_000
-        confirmed = await monitor.wait_confirmed(status.position, term, later_ms)
+        term, confirm_deadline_ms = record.group.term, fleet.clock.now_ms() + 5_000
+        confirmed = await monitor.wait_confirmed(
+            status.position, term, confirm_deadline_ms
+        )
         assert confirmed == Confirmed()
         fleet.members["a"].member.faults.set(freeze=False, cut_replication=False)
         async with asyncio.timeout(20):
@@ -240,7 +245,7 @@
         assert not fleet.members["a"].member.state.is_primary
 
 
-async def test_fencing_that_a_promoter_abandoned_is_completed(
+async def test_fencing_abandoned_by_a_promoter_is_completed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against members that stay fenced after a promoter crashed."""
@@ -252,7 +257,7 @@
         assert record.group.attempt
 
 
-async def test_a_recorded_promotion_that_was_never_installed_is_completed(
+async def test_recorded_promotion_that_was_never_installed_is_completed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against a promoter that crashed after its update of the record."""
--- a/tests/test_group_model.py
+++ b/tests/test_group_model.py
@@ -1,8 +1,8 @@
 """Guards acknowledged commits and strict reads against any order of events.
 
 Several promoters and holders work on a model of the members. Every statement and
-answer may be lost, delayed, repeated or reordered, members stop and return, and nodes
-work with outdated records.
+response may be lost, delayed, repeated or reordered, members stop and restart, and
+nodes use outdated records.
 """
 
 from __future__ import annotations
@@ -54,7 +54,14 @@
 from radishtrack.group.status import Group, MemberStatus
 from radishtrack.session.position import Position, is_contained
 
-FATES = ("carried out", "carried out", "carried out", "answer lost", "lost", "repeated")
+DELIVERIES = (
+    "carried out",
+    "carried out",
+    "carried out",
+    "response lost",
+    "lost",
+    "repeated",
+)
 SEEDS = st.integers(0, 2**16)
 MIX_STEPS = 80
 MIX = {
@@ -85,7 +92,7 @@
 
 @attrs.define(eq=False)
 class Job:
-    """A call under way; `finish` takes its fate."""
+    """A call in flight; `finish` receives how it is delivered."""
 
     member: str
     finish: Callable[[str], None]
@@ -93,12 +100,12 @@
 
 @attrs.define
 class Promoter:
-    """A node that promotes, with what it knows and what it has under way."""
+    """A node that promotes, with its cached record of the group."""
 
     group: Group
     attempt: PromotionAttempt | None = None
     jobs: list[Job] = attrs.field(factory=list)
-    """Calls under way."""
+    """Calls in flight."""
 
     def add(self, member: str, finish: Callable[[str], None]) -> None:
         """Start a call; an empty member means the platform."""
@@ -110,12 +117,12 @@
     """A commit or a strict read at a holder."""
 
     group: Group
-    started: set[int]
-    """Commits acknowledged before it began."""
+    required_commits: set[int]
+    """Commits acknowledged before the request began."""
     number: int = 0
     primary: str = ""
     is_read: bool = False
-    ids: set[int] | None = None
+    commit_numbers: set[int] | None = None
     position: Position | None = None
     before: int = 0
     statuses: dict[str, MemberStatus] = attrs.field(factory=dict)
@@ -143,8 +150,8 @@
         self.names = sorted(self.members)
 
     def _make_random(self, seed: int) -> Random:
-        # Small steps of a schedule are drawn from here: drawn from hypothesis, most
-        # schedules would end before a promotion does.
+        # Draws the small steps of a schedule: if hypothesis drew them, most schedules
+        # would end before a promotion does.
         self.steps += 1
         return Random(f"{seed} {self.steps}")
 
@@ -195,7 +202,7 @@
         self.now_ms += random.choice((100.0, 600.0))
         for promoter in self.promoters:
             if promoter.attempt is not None:
-                self._tell(promoter, promoter.attempt, messages.DeadlinePassed())
+                self._deliver(promoter, promoter.attempt, messages.DeadlinePassed())
 
     def _repair(self, index: int, random: Random) -> None:
         promoter = self.promoters[index]
@@ -209,11 +216,11 @@
         self._run_jobs(promoter, random)
 
     def _replace_primary(self, index: int, random: Random) -> None:
-        """Promote as in a failure of the primary that others cannot see."""
+        """Promote as if only this node could not reach some members."""
         promoter = self.promoters[index]
         promoter.group = self.platform.group
         promoter.jobs.clear()
-        # As many as can be missing from a fence quorum; mostly the primary is.
+        # Cuts off as many members as a fence quorum allows, mostly with the primary.
         missing = self.size - promoter.group.fence_quorum
         others = [name for name in self.names if name != promoter.group.primary]
         random.shuffle(others)
@@ -232,20 +239,20 @@
         promoter.attempt = make_promotion_attempt(
             promoter.group, f"attempt {self.attempts}", VOTERS
         )
-        self._tell(promoter, promoter.attempt, first)
+        self._deliver(promoter, promoter.attempt, first)
 
     def _run_jobs(self, promoter: Promoter, random: Random) -> None:
-        """Continue some calls in any order; some runs lose or repeat much."""
+        """Finish some calls in random order; some runs lose or repeat many of them."""
         reliable = random.random() < 0.6
         cut_off = set(random.sample(self.names, random.choice((0, 1, 1, 2))))
         for _ in range(random.choice((1, 3, 10, 60))):
             if not promoter.jobs:
                 return
             job = promoter.jobs.pop(random.randrange(len(promoter.jobs)))
-            fate = "carried out" if reliable else random.choice(FATES)
-            job.finish("lost" if job.member in cut_off else fate)
+            delivery = "carried out" if reliable else random.choice(DELIVERIES)
+            job.finish("lost" if job.member in cut_off else delivery)
 
-    def _tell(
+    def _deliver(
         self, promoter: Promoter, attempt: PromotionAttempt, message: messages.Message
     ) -> None:
         if promoter.attempt is not attempt:
@@ -258,57 +265,63 @@
     def _perform(
         self, promoter: Promoter, attempt: PromotionAttempt, action: messages.Action
     ) -> None:
-        def tell(message: messages.Message) -> None:
-            self._tell(promoter, attempt, message)
+        def deliver(message: messages.Message) -> None:
+            self._deliver(promoter, attempt, message)
 
         match action:
             case messages.CollectVotes():
-                tell(messages.VotesReceived(dict.fromkeys(VOTERS, True)))
+                deliver(messages.VotesReceived(dict.fromkeys(VOTERS, True)))
             case messages.ReadGroup():
-                promoter.add("", lambda fate: self._read(tell, fate))
+                promoter.add("", lambda delivery: self._read(deliver, delivery))
             case messages.RecordGroup(group, version):
                 promoter.add(
-                    "", lambda fate: self._record(promoter, tell, group, version, fate)
+                    "",
+                    lambda delivery: self._record(
+                        promoter, deliver, group, version, delivery
+                    ),
                 )
             case messages.FenceMembers(names, group, term):
                 for name in names:
-                    self._command(promoter, name, fence_steps(group, term), tell)
+                    self._command(promoter, name, fence_steps(group, term), deliver)
             case messages.PromoteMember(name, group):
-                self._command(promoter, name, promote_steps(group), tell)
+                self._command(promoter, name, promote_steps(group), deliver)
             case messages.FollowMember(name, group):
-                self._command(promoter, name, follow_steps(group), tell)
+                self._command(promoter, name, follow_steps(group), deliver)
             case messages.AdoptGroup(group):
                 promoter.group = group
 
-    def _read(self, tell: Callable[[messages.Message], None], fate: str) -> None:
-        if not self.platform.is_up or fate in ("lost", "answer lost"):
-            tell(messages.PlatformDidNotRespond())
+    def _read(self, deliver: Callable[[messages.Message], None], delivery: str) -> None:
+        if not self.platform.is_up or delivery in ("lost", "response lost"):
+            deliver(messages.PlatformDidNotRespond())
         else:
-            tell(messages.GroupRead(self.platform.group))
+            deliver(messages.GroupRead(self.platform.group))
 
     def _record(
         self,
         promoter: Promoter,
-        tell: Callable[[messages.Message], None],
+        deliver: Callable[[messages.Message], None],
         group: Group,
         version: int,
-        fate: str,
+        delivery: str,
     ) -> None:
-        if fate == "repeated":
-            # The first copy is still under way when the platform seems to be silent.
+        if delivery == "repeated":
+            # The first copy is still in flight when the platform does not respond.
             promoter.add(
-                "", lambda later: self._record(promoter, tell, group, version, later)
+                "",
+                lambda later_delivery: self._record(
+                    promoter, deliver, group, version, later_delivery
+                ),
             )
-        if not self.platform.is_up or fate in ("lost", "repeated"):
-            tell(messages.PlatformDidNotRespond())
+        if not self.platform.is_up or delivery in ("lost", "repeated"):
+            deliver(messages.PlatformDidNotRespond())
             return
         written = self.platform.write(group, version)
         if written is not None:
             self._check_record()
-        if fate == "answer lost":
-            tell(messages.PlatformDidNotRespond())
+        if delivery == "response lost":
+            deliver(messages.PlatformDidNotRespond())
         else:
-            tell(
+            deliver(
                 messages.RecordConflicted()
                 if written is None
                 else messages.GroupRecorded(written)
@@ -319,43 +332,48 @@
         promoter: Promoter,
         name: str,
         steps: Steps,
-        tell: Callable[[messages.Message], None],
+        deliver: Callable[[messages.Message], None],
     ) -> None:
-        answers: dict[str, Callable[[MemberStatus], messages.Message]] = {
+        responses: dict[str, Callable[[MemberStatus], messages.Message]] = {
             "fence_steps": messages.MemberFenced,
             "follow_steps": lambda status: messages.MemberFollowed(name),
             "promote_steps": lambda status: messages.MemberPromoted(name),
         }
-        answer = answers[steps.__name__]
+        make_response = responses[steps.__name__]
 
         def send(statement: Statement) -> None:
-            promoter.add(name, lambda fate: execute(statement, fate))
+            promoter.add(name, lambda delivery: execute(statement, delivery))
 
-        def execute(statement: Statement, fate: str) -> None:
+        def execute(statement: Statement, delivery: str) -> None:
             member = self.members[name]
-            if not member.is_up or fate == "lost":
-                tell(messages.MemberUnreachable(name))
+            if not member.is_up or delivery == "lost":
+                deliver(messages.MemberUnreachable(name))
                 return
             try:
                 status = member.run(statement)
             except RefusedStatement:
-                tell(messages.MemberRefused(name, "stale term"))
+                deliver(messages.MemberRefused(name, "stale term"))
                 return
-            if fate == "repeated":
-                promoter.add(name, lambda later: self._repeat(name, statement, later))
-            if fate == "answer lost":
-                tell(messages.MemberUnreachable(name))
+            if delivery == "repeated":
+                promoter.add(
+                    name,
+                    lambda later_delivery: self._repeat(
+                        name, statement, later_delivery
+                    ),
+                )
+            if delivery == "response lost":
+                deliver(messages.MemberUnreachable(name))
                 return
             try:
                 send(steps.send(status))
             except StopIteration as stop:
-                tell(answer(stop.value))
+                deliver(make_response(stop.value))
 
         send(next(steps))
 
-    def _repeat(self, name: str, statement: Statement, fate: str) -> None:
+    def _repeat(self, name: str, statement: Statement, delivery: str) -> None:
         member = self.members[name]
-        if member.is_up and fate != "lost":
+        if member.is_up and delivery != "lost":
             try:
                 member.run(statement)
             except RefusedStatement:
@@ -410,8 +428,8 @@
         if not self.members[request.primary].is_up:
             return
         status = self.members[request.primary].status()
-        choose = position_of_read if request.is_read else position_of_commit
-        request.position = choose(status, request.group)
+        find_position = position_of_read if request.is_read else position_of_commit
+        request.position = find_position(status, request.group)
         if request.position is None:
             self.requests.remove(request)
 
@@ -425,7 +443,7 @@
             case StillUnknown():
                 return
             case Confirmed() if request.is_read:
-                self._serve(request, request.ids)
+                self._check_read(request, request.commit_numbers)
             case Confirmed():
                 self._check_current(request)
                 self.acknowledged.add(request.number)
@@ -439,8 +457,8 @@
         status_round = StatusRound(0.0, request.statuses)
         names: tuple[str, ...] = ()
         match choose_strict(status_round, request.group):
-            case ServeReplicas(found, _):
-                names = found
+            case ServeReplicas(members, _):
+                names = members
             case ServeReplicasAtLeast(position):
                 names = tuple(
                     status.member
@@ -450,18 +468,20 @@
                 )
             case ServePrimary():
                 request.primary = request.group.primary
-                request.ids = self.members[request.primary].ids()
+                request.commit_numbers = self.members[request.primary].commit_numbers()
                 request.statuses = {}
         for name in names:
-            self._serve(request, self.members[name].ids())
+            self._check_read(request, self.members[name].commit_numbers())
         if names:
             self.requests.remove(request)
 
     # Checks
 
-    def _serve(self, request: Request, ids: set[int] | None) -> None:
-        assert ids is not None
-        assert request.started <= ids, "a strict read missed an acknowledged commit"
+    def _check_read(self, request: Request, commit_numbers: set[int] | None) -> None:
+        assert commit_numbers is not None
+        assert request.required_commits <= commit_numbers, (
+            "a strict read missed an acknowledged commit"
+        )
 
     def _check_current(self, request: Request) -> None:
         group = self.platform.group
@@ -473,9 +493,13 @@
     def _check_record(self) -> None:
         group = self.platform.group
         kept = self.members[group.primary].log[: group.history[-1].sequence]
-        ids = {number for _, number in kept}
-        assert self.acknowledged <= ids, "a promotion lost an acknowledged commit"
-        assert not self.discarded & ids, "a commit that did not run came back"
+        commit_numbers = {number for _, number in kept}
+        assert self.acknowledged <= commit_numbers, (
+            "a promotion lost an acknowledged commit"
+        )
+        assert not self.discarded & commit_numbers, (
+            "a commit that did not run came back"
+        )
 
     @invariant()
     def _one_primary_for_each_term(self) -> None:
@@ -489,10 +513,10 @@
         term = self.platform.group.term
         for member in self.members.values():
             if member.term == term:
-                assert not self.discarded & member.ids()
+                assert not self.discarded & member.commit_numbers()
 
     def teardown(self) -> None:
-        """Bring everything back: a promotion completes and loses nothing."""
+        """Restart everything; a promotion must then complete without a loss."""
         if not hasattr(self, "members"):
             return
         for member in self.members.values():
@@ -502,7 +526,7 @@
         promoter = Promoter(group)
         attempt = make_promotion_attempt(group, "last", VOTERS)
         promoter.attempt = attempt
-        self._tell(promoter, attempt, messages.FencingAbandoned())
+        self._deliver(promoter, attempt, messages.FencingAbandoned())
         while promoter.jobs:
             promoter.jobs.pop(0).finish("carried out")
         assert self.platform.group.term == group.term + 1
@@ -510,12 +534,12 @@
             if member.source in self.members:
                 member.replicate(self.members[member.source], 1_000)
             assert member.term == group.term + 1
-            assert self.acknowledged <= member.ids()
-            assert not self.discarded & member.ids()
+            assert self.acknowledged <= member.commit_numbers()
+            assert not self.discarded & member.commit_numbers()
 
 
 class FiveMemberMachine(GroupMachine):
-    """Five members: one replica more than the primary is no quorum."""
+    """Five members, of which the primary and one replica are no quorum."""
 
     size = 5
 
--- a/tests/test_group_promotion.py
+++ b/tests/test_group_promotion.py
@@ -1,7 +1,7 @@
 """Guards one promotion attempt against lost calls, races and refusals.
 
-It never promotes what the platform has not recorded, always ends, and keeps its time
-limit whatever call is lost.
+An attempt promotes only a member that the platform has recorded, always ends, and
+keeps its time limit whichever call is lost.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
     faults: list[tuple[str, str]] = attrs.field(factory=list)
     now_ms: float = 0.0
     inbox: deque[messages.Message] = attrs.field(factory=deque)
-    late: list[messages.RecordGroup] = attrs.field(factory=list)
+    late_updates: list[messages.RecordGroup] = attrs.field(factory=list)
     actions: list[messages.Action] = attrs.field(factory=list)
 
     def run(self, first: messages.Message) -> None:
@@ -57,41 +57,44 @@
                 self.actions.append(action)
                 self.perform(action)
 
-    def take_fault(self, step: str) -> str:
+    def pop_fault(self, step: str) -> str:
         """Return the next fault if it is meant for this step."""
         if self.faults and self.faults[0][0] == step:
             return self.faults.pop(0)[1]
         return ""
 
     def perform(self, action: messages.Action) -> None:
-        """Carry out one action, or what is left of it under a fault."""
+        """Carry out one action, subject to the next fault of its step."""
         match action:
             case messages.CollectVotes():
-                self.vote(self.take_fault("vote"))
+                self.vote(self.pop_fault("vote"))
             case messages.ReadGroup():
-                again = self.attempt.state is Step.RECORDING
-                self.read(self.take_fault("read again" if again else "read"))
+                is_reread = self.attempt.state is Step.RECORDING
+                self.read(self.pop_fault("read again" if is_reread else "read"))
             case messages.RecordGroup():
-                self.record(action, self.take_fault("record"))
+                self.record(action, self.pop_fault("record"))
             case messages.FenceMembers(names, group, term):
-                fault = self.take_fault("fence")
+                fault = self.pop_fault("fence")
                 for name in names:
-                    # The fault hits member c, or all of them if the network is down.
-                    hit = fault if name == "c" or fault == "down" else ""
+                    # The fault affects member c, or all members if the network is down.
+                    member_fault = fault if name == "c" or fault == "down" else ""
                     self.command(
-                        name, fence_steps(group, term), messages.MemberFenced, hit
+                        name,
+                        fence_steps(group, term),
+                        messages.MemberFenced,
+                        member_fault,
                     )
             case messages.PromoteMember(name, group):
-                fault = self.take_fault("promote")
+                fault = self.pop_fault("promote")
                 if fault == "raced":
-                    self.race()
+                    self.record_competing_term()
                 steps = promote_steps(group)
                 self.command(
                     name, steps, lambda _: messages.MemberPromoted(name), fault
                 )
             case messages.FollowMember(name, group):
                 is_up = self.members[name].is_up
-                fault = self.take_fault("follow") if is_up else ""
+                fault = self.pop_fault("follow") if is_up else ""
                 steps = follow_steps(group)
                 self.command(
                     name, steps, lambda _: messages.MemberFollowed(name), fault
@@ -100,7 +103,7 @@
                 pass
 
     def vote(self, fault: str) -> None:
-        """Answer for all voters."""
+        """Deliver the votes of all voters."""
         if fault != "silent":
             unreachable = fault != "opposed"
             votes = {"p": True, "q": unreachable, "r": False}
@@ -109,21 +112,21 @@
     def read(self, fault: str) -> None:
         """Read the record."""
         if fault == "raced":
-            self.race()
+            self.record_competing_term()
         if fault == "down":
             self.inbox.append(messages.PlatformDidNotRespond())
         elif fault != "silent":
             self.inbox.append(messages.GroupRead(self.platform.group))
-        for late in self.late:
-            self.platform.write(late.group, late.expected_version)
-        self.late.clear()
+        for update in self.late_updates:
+            self.platform.write(update.group, update.expected_version)
+        self.late_updates.clear()
 
     def record(self, action: messages.RecordGroup, fault: str) -> None:
         """Update the record; a late update arrives after the next read."""
         if fault == "raced":
-            self.race()
+            self.record_competing_term()
         if fault == "late":
-            self.late.append(action)
+            self.late_updates.append(action)
         if fault == "down":
             self.inbox.append(messages.PlatformDidNotRespond())
         if fault in ("silent", "late", "down"):
@@ -137,7 +140,7 @@
             else messages.GroupRecorded(version)
         )
 
-    def race(self) -> None:
+    def record_competing_term(self) -> None:
         """Let another promoter record the next term with primary b."""
         group = self.platform.group
         start = TermStart(group.term + 1, 2)
@@ -152,9 +155,11 @@
         for name in ("b", "c"):
             self.members[name].fenced_term = group.term + 1
 
-    def command(self, name: str, steps: Steps, answer: object, fault: str) -> None:
+    def command(
+        self, name: str, steps: Steps, make_message: object, fault: str
+    ) -> None:
         """Run the statements of one command on a member."""
-        assert callable(answer)
+        assert callable(make_message)
         member = self.members[name]
         if fault == "refused" or (member.is_up and self.is_stale(member, steps)):
             self.inbox.append(messages.MemberRefused(name, "stale term"))
@@ -163,7 +168,7 @@
         elif fault != "silent":
             status = run_steps(member, steps)
             if fault != "lost":
-                self.inbox.append(answer(status))
+                self.inbox.append(make_message(status))
 
     def is_stale(self, member: ModelMember, steps: Steps) -> bool:
         """Tell whether the member is fenced for a term above the attempt's."""
@@ -191,7 +196,7 @@
     return Driver(members, platform, attempt)
 
 
-@given("a group of three members whose primary a is gone", target_fixture="driver")
+@given("a group of three members whose primary a is down", target_fixture="driver")
 def group_without_primary() -> Driver:
     return make_driver()
 
@@ -201,7 +206,7 @@
     words = [word.strip() for word in faults.split(",") if word.strip()]
     driver.faults = [(word.split(":")[0], word.split(":")[1]) for word in words]
     driver.run(messages.PrimarySuspected())
-    assert not driver.faults, "a fault was never reached"
+    assert not driver.faults, "a fault was never injected"
 
 
 @then(parsers.parse("the attempt is {end} with term {term:d} and primary {primary}"))
@@ -223,7 +228,7 @@
 
 
 def is_recorded(group: Group, earlier: list[messages.Action]) -> bool:
-    """Tell whether the attempt knew its record to be in force."""
+    """Tell whether the attempt had adopted its own record."""
     return any(
         isinstance(action, messages.AdoptGroup)
         and action.group.attempt == group.attempt
@@ -231,7 +236,7 @@
     )
 
 
-def test_an_outage_of_the_platform_fences_nobody() -> None:
+def test_platform_outage_fences_no_member() -> None:
     """Guards reads: fenced members without a promotion end strict reads."""
     driver = make_driver()
     for _ in range(50):
@@ -246,15 +251,15 @@
     assert driver.attempt.state in (Step.READING, Step.VOTING)
 
 
-def test_a_primary_that_answers_again_ends_the_attempt_before_fencing() -> None:
+def test_primary_that_responds_again_ends_the_attempt_before_fencing() -> None:
     driver = make_driver()
     driver.attempt.handle(messages.PrimarySuspected(), 0.0)
     assert driver.attempt.handle(messages.PrimaryResponded(), 1.0) == ()
     assert driver.attempt.state is Step.FAILED
 
 
-def test_a_silent_primary_is_not_waited_for() -> None:
-    """Guards the gap of writes, which a timeout for its fence would lengthen."""
+def test_election_does_not_wait_for_an_unresponsive_primary() -> None:
+    """Guards against a write outage that is longer by the timeout of its fence."""
     driver = make_driver()
     driver.attempt.handle(messages.PrimarySuspected(), 0.0)
     driver.attempt.handle(messages.VotesReceived(dict.fromkeys(VOTERS, True)), 1.0)
@@ -266,23 +271,23 @@
 
 
 def test_members_with_a_lower_term_discard_before_they_are_fenced() -> None:
-    """Guards 'did not run': a discarded commit must not be elected back."""
+    """Guards against an election that restores a commit reported as not run."""
     driver = make_driver()
     driver.run(messages.PrimarySuspected())
-    old = driver.members["a"]
-    old.is_up = True
-    old.commit(4)
+    former_primary = driver.members["a"]
+    former_primary.is_up = True
+    former_primary.commit(4)
     attempt = make_promotion_attempt(driver.platform.group, "p-2", VOTERS)
-    again = Driver(driver.members, driver.platform, attempt)
+    second_driver = Driver(driver.members, driver.platform, attempt)
     driver.members["c"].is_up = False
-    again.run(messages.PrimarySuspected())
+    second_driver.run(messages.PrimarySuspected())
     assert attempt.state is Step.DONE
-    assert 4 not in old.ids()
+    assert 4 not in former_primary.commit_numbers()
 
 
 @pytest.mark.parametrize("size", [3, 5])
-def test_a_change_of_primary_takes_less_than_seven_seconds(size: int) -> None:
-    """Every step loses one call; detection and the polls around it are included."""
+def test_change_of_primary_takes_less_than_seven_seconds(size: int) -> None:
+    """Every step loses one call; the time includes detection and its poll interval."""
     members, platform = make_model(size)
     members["a"].commit(1)
     for name in sorted(members)[1:]:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -35,15 +35,15 @@
 def test_slots_are_on_different_nodes_and_zones() -> None:
     zones = {node.id: node.zone for node in NODES}
     for database in DATABASES:
-        place = place_slots(database, "r", 3, NODES)
-        assert len({zones[node_id] for node_id in place}) == 3
-        place = place_slots(database, "r", 7, NODES)
-        assert len(set(place)) == 7
-        spread = collections.Counter(zones[node_id] for node_id in place)
+        holders = place_slots(database, "r", 3, NODES)
+        assert len({zones[node_id] for node_id in holders}) == 3
+        holders = place_slots(database, "r", 7, NODES)
+        assert len(set(holders)) == 7
+        spread = collections.Counter(zones[node_id] for node_id in holders)
         assert sorted(spread.values()) == [2, 2, 3]
 
 
-def test_other_regions_and_leaving_nodes_hold_nothing() -> None:
+def test_other_regions_and_leaving_nodes_get_no_slots() -> None:
     nodes = [
         Node("a", "z", "r"),
         Node("b", "z", "s"),
@@ -61,7 +61,7 @@
         assert ranked[:slots] == place_slots(database, "r", slots, NODES)
 
 
-def test_the_order_of_the_view_does_not_matter() -> None:
+def test_placement_does_not_depend_on_the_order_of_nodes() -> None:
     for database in DATABASES:
         expected = place_slots(database, "r", 3, NODES)
         assert place_slots(database, "r", 3, NODES[::-1]) == expected
@@ -78,13 +78,13 @@
 
 
 def test_slots_are_spread_evenly() -> None:
-    held = collections.Counter(
+    slot_counts = collections.Counter(
         node_id
         for number in range(600)
         for node_id in place_slots(f"d{number}", "r", 2, NODES)
     )
-    assert len(held) == len(NODES)
-    assert max(held.values()) <= 60
+    assert len(slot_counts) == len(NODES)
+    assert max(slot_counts.values()) <= 60
 
 
 @settings(derandomize=True, deadline=None, max_examples=60)
@@ -92,10 +92,10 @@
     st.lists(st.sets(st.integers(0, 11), max_size=12), min_size=1, max_size=6),
     st.sets(st.integers(0, 11)),
 )
-def test_the_kept_orders_equal_a_fresh_computation(
+def test_cached_orders_equal_computed_ones(
     views: list[set[int]], moved: set[int]
 ) -> None:
-    """Nodes come, go, leave and return in another zone."""
+    """Nodes join, disappear, leave and return in another zone."""
     placement = make_placement(NODES[:12])
     for round_number, view in enumerate(views):
         nodes = [
@@ -129,7 +129,7 @@
     return [node.id for node in membership.list_nodes(now_ms) if node.leaving]
 
 
-def test_the_own_node_is_known_before_the_platform_lists_it() -> None:
+def test_own_node_is_known_before_the_platform_lists_it() -> None:
     membership = make_view()
     assert [node.id for node in membership.list_nodes(0)] == [
         "n000",
@@ -144,7 +144,7 @@
     assert membership.find_node("none") is None
 
 
-def test_a_refused_connection_counts_for_a_while() -> None:
+def test_refused_connection_expires() -> None:
     membership = make_view()
     membership.record_refusal("n001", 0)
     assert list_avoided(membership, REFUSED_VALID_MS - 1) == ["n001"]
@@ -154,7 +154,7 @@
     assert list_avoided(membership, 1) == []
 
 
-def test_an_answer_of_an_earlier_incarnation_changes_nothing() -> None:
+def test_response_of_an_earlier_incarnation_is_ignored() -> None:
     membership = make_view()
     membership.record_response("n001", 7)
     membership.record_refusal("n001", 0)
@@ -162,7 +162,7 @@
     assert list_avoided(membership, 1) == ["n001"]
 
 
-def test_a_leaving_node_stays_so_until_a_later_incarnation_answers() -> None:
+def test_node_is_leaving_until_a_later_incarnation_responds() -> None:
     membership = make_view()
     membership.record_leaving("n001", 7, 0)
     membership.record_response("n001", 7)
@@ -175,7 +175,7 @@
     assert list_avoided(membership, 3) == []
 
 
-def test_a_leaving_message_expires_and_ends_with_the_listing() -> None:
+def test_leaving_message_expires_and_is_dropped_with_the_listing() -> None:
     membership = make_view()
     membership.record_leaving("n001", 7, 0)
     assert list_avoided(membership, LEAVING_VALID_MS) == []
@@ -184,7 +184,7 @@
     assert list_avoided(membership, 1) == []
 
 
-def test_the_platforms_word_that_a_node_leaves_is_kept() -> None:
+def test_leaving_mark_of_the_platform_is_kept() -> None:
     membership = make_view()
     membership.apply_list([attrs.evolve(NODES[1], leaving=True)])
     membership.record_response("n001", 9)
--- a/tests/test_suspicion.py
+++ b/tests/test_suspicion.py
@@ -1,4 +1,4 @@
-"""Guards when a member is suspected: early for a dead process, late for silence."""
+"""Guards the suspicion of members: early after refusals, late without responses."""
 
 from __future__ import annotations
 
@@ -14,29 +14,31 @@
 
 
 @pytest.mark.parametrize(("now_ms", "expected"), [(1499.0, False), (1500.0, True)])
-def test_silence_is_suspected_late(now_ms: float, expected: bool) -> None:
+def test_unresponsive_member_is_suspected_late(now_ms: float, expected: bool) -> None:
     suspicion = make_suspicion()
     suspicion.unresponsive("m1")
     assert suspicion.is_suspected("m1", now_ms) is expected
 
 
 @pytest.mark.parametrize(("now_ms", "expected"), [(599.0, False), (600.0, True)])
-def test_refused_connections_are_suspected_early(now_ms: float, expected: bool) -> None:
+def test_member_that_refuses_connections_is_suspected_early(
+    now_ms: float, expected: bool
+) -> None:
     suspicion = make_suspicion()
     suspicion.refused("m1", 100.0)
     suspicion.refused("m1", 350.0)
     assert suspicion.is_suspected("m1", now_ms) is expected
 
 
-def test_one_refusal_in_silence_is_not_enough() -> None:
-    """A host that dies shows a refusal or none; only lasting refusals count."""
+def test_single_refusal_is_not_enough() -> None:
+    """A failing host may refuse one connection; only lasting refusals count."""
     suspicion = make_suspicion()
     suspicion.refused("m1", 100.0)
     suspicion.unresponsive("m1")
     assert not suspicion.is_suspected("m1", 1499.0)
 
 
-def test_a_restarted_member_is_trusted_again() -> None:
+def test_restarted_member_is_not_suspected() -> None:
     suspicion = make_suspicion()
     suspicion.refused("m1", 100.0)
     suspicion.answered("m1", 400.0)
--- a/tests/test_switchover.py
+++ b/tests/test_switchover.py
@@ -1,4 +1,4 @@
-"""Guards the planned change of primary: nothing discarded, and not without a reason."""
+"""Guards against a planned change of primary without need, or that loses commits."""
 
 from __future__ import annotations
 
@@ -38,16 +38,16 @@
     ids=[
         "leaving primary",
         "another node starts",
-        "nobody leaves",
+        "no member leaves",
         "only a replica leaves",
-        "nobody stays",
-        "primary silent",
+        "no member stays",
+        "primary unresponsive",
         "already fenced",
         "replica of an earlier term",
         "replicas too far behind",
     ],
 )
-def test_when_a_switchover_starts(
+def test_when_switchover_starts(
     statuses: tuple[MemberStatus, ...],
     leaving: frozenset[str],
     rank: int,
@@ -64,9 +64,9 @@
         (make_status("m2", 100), LEAVING | {"m2"}, False),
         (make_status("m2", 100, term=2), LEAVING, False),
     ],
-    ids=["has all", "behind", "leaves too", "of an earlier term"],
+    ids=["has the whole log", "behind", "leaves too", "of an earlier term"],
 )
-def test_the_successor_has_the_whole_log(
+def test_successor_has_the_whole_log(
     replica: MemberStatus, leaving: frozenset[str], expected: bool
 ) -> None:
     fenced = make_status("m1", 100, fenced=4)
