--- a/src/radishtrack/group/promotion.py
+++ b/src/radishtrack/group/promotion.py
@@ -152,8 +152,8 @@
             attempt.back_off(now_ms)
         case DeadlinePassed():
             if attempt.is_takeover or attempt.tally.has_majority(now_ms):
-                # The backoff keeps the holders from polling an unresponsive platform
-                # at a fixed rate.
+                # Adds the current backoff, so that the holders do not all poll an
+                # unresponsive platform at a fixed rate.
                 attempt.deadline_ms = now_ms + STEP_TIMEOUT_MS + attempt.backoff_ms
                 yield ReadGroup()
                 return
