--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -44,7 +44,7 @@
         request.holder,
         request.request_id,
         Stamp(1, request.request_id, 0.0),
-        request.wanted,
+        request.requested_tokens,
         500.0,
     )
 
--- a/examples/embed_rates.py
+++ b/examples/embed_rates.py
@@ -24,7 +24,7 @@
         for step in range(1, steps_per_second + 1):
             bucket.refill((second * steps_per_second + step) * STEP_MS)
             taken = min(requests_per_step, bucket.available())
-            bucket.take(taken)
+            bucket.consume(taken)
             admitted += taken
         yield admitted
 
--- a/src/radishtrack/proxy/allocators.py
+++ b/src/radishtrack/proxy/allocators.py
@@ -156,7 +156,7 @@
             else:
                 await self._write(name, state, write)
             return
-        if not state.lease.is_mine and now_ms - placed.read_ms >= LEASE_READ_MS:
+        if not state.lease.is_own and now_ms - placed.read_ms >= LEASE_READ_MS:
             # Another allocator gives the lease up when it learns that the organisation
             # is placed here.
             placed.read_ms = now_ms
@@ -219,5 +219,6 @@
         return False
     planned = {share.holder for share in record.standing_shares}
     return any(
-        view.is_wanted() and name not in planned for name, view in state.holders.items()
+        view.needs_standing_share() and name not in planned
+        for name, view in state.holders.items()
     )
--- a/src/radishtrack/rates/allocator.py
+++ b/src/radishtrack/rates/allocator.py
@@ -93,7 +93,7 @@
             self._confirm(pending, version, now_ms)
             return
         self.lease.see(record, version, now_ms)
-        if not self.lease.is_mine:
+        if not self.lease.is_own:
             self.bucket = None
 
     def should_acquire(self, now_ms: float) -> bool:
@@ -119,7 +119,7 @@
         }
         previous = self.lease.record
         # The holders scale their shares by the limit from which they were computed.
-        is_planned = self.lease.is_mine or previous is None
+        is_planned = self.lease.is_own or previous is None
         limit = self.limit if is_planned or previous is None else previous.limit
         record = LeaseRecord(
             self.organisation,
@@ -154,16 +154,21 @@
         After a conflict and an `observe` it may be called again.
         """
         record = self.lease.record
-        if self.lease.is_mine and self.bucket is not None:
+        if self.lease.is_own and self.bucket is not None:
             self._advance(now_ms)
             self.released = ReleasedLevel(self.bucket.level_units, self.bucket.reserved)
             self.lease.give_up()
             self.bucket = None
-        is_own = record is not None and (record.holder_node, record.epoch) == (
+        is_latest_own = record is not None and (record.holder_node, record.epoch) == (
             self.lease.node,
             self.epoch,
         )
-        if record is None or self.released is None or not is_own or record.released:
+        if (
+            record is None
+            or self.released is None
+            or not is_latest_own
+            or record.released
+        ):
             return None
         revision = self.lease.next_revision()
         return self.lease.send(
@@ -224,7 +229,7 @@
         if version <= self.lease.version:
             return
         record = pending.write.record
-        is_new = not self.lease.is_mine and record.released is None
+        is_new = not self.lease.is_own and record.released is None
         self.lease.confirm(pending, version, now_ms)
         for share in record.standing_shares:
             self.share_seen_ms.setdefault(share, now_ms)
@@ -298,7 +303,7 @@
         view.revision = max(view.revision, request.standing_revision)
         if request.request_id > view.last_request_id:
             view.demand_per_second = request.demand_per_second
-            if request.wanted > 0:
+            if request.requested_tokens > 0:
                 view.wanted_ms = now_ms
         echo = request.echo
         # A stamp of another epoch is a time on another node's clock.
@@ -317,7 +322,11 @@
         assert self.bucket is not None
         accrue_credits(self.holders, self.bucket.rate_micro / MICRO, now_ms)
         tokens = fair_tokens(
-            self.holders, view, request.wanted, self.bucket.available(), now_ms
+            self.holders,
+            view,
+            request.requested_tokens,
+            self.bucket.available(),
+            now_ms,
         )
         retry_after_ms = 0.0
         if tokens > 0:
@@ -329,7 +338,7 @@
                 tokens,
                 now_ms + self.grant_validity_ms() * DRIFT_MARGIN,
             )
-        view.is_short = tokens < request.wanted
+        view.is_short = tokens < request.requested_tokens
         if view.is_short:
             wait_ms = self.bucket.wait_ms()
             if has_contenders(self.holders, view, now_ms):
@@ -364,9 +373,11 @@
 
     def _plan(self, revision: int, now_ms: float) -> tuple[StandingShare, ...]:
         known = self.lease.record.standing_shares if self.lease.record else ()
-        if not self.lease.is_mine:
+        if not self.lease.is_own:
             return known
-        seen = {name for name, view in self.holders.items() if view.is_wanted()}
+        seen = {
+            name for name, view in self.holders.items() if view.needs_standing_share()
+        }
         # Holders that this allocator has not heard from keep their share for as long
         # as it may be in use.
         quiet = {
--- a/src/radishtrack/rates/bucket.py
+++ b/src/radishtrack/rates/bucket.py
@@ -65,13 +65,13 @@
         """Return the whole tokens that are free."""
         return self.level_units // UNITS_PER_TOKEN
 
-    def take(self, tokens: int) -> None:
+    def consume(self, tokens: int) -> None:
         """Use `tokens` free tokens now."""
         self.level_units -= tokens * UNITS_PER_TOKEN
 
     def reserve(self, tokens: int) -> None:
         """Hand out `tokens` free tokens for use until they are settled."""
-        self.take(tokens)
+        self.consume(tokens)
         self.reserved += tokens
 
     def settle(self, tokens: int, returned: int = 0) -> None:
--- a/src/radishtrack/rates/holder_view.py
+++ b/src/radishtrack/rates/holder_view.py
@@ -49,7 +49,7 @@
         """Return whether the holder surely leaves its standing share unused."""
         return self.is_leaving or now_ms < self.lent_until_ms
 
-    def is_wanted(self) -> bool:
+    def needs_standing_share(self) -> bool:
         """Return whether the holder is to have a standing share."""
         return not (self.is_leaving or self.is_gone)
 
@@ -88,7 +88,7 @@
 def fair_tokens(
     holders: dict[str, HolderView],
     view: HolderView,
-    wanted: int,
+    requested_tokens: int,
     available: int,
     now_ms: float,
 ) -> int:
@@ -97,7 +97,7 @@
     A holder gets its credit, or what remains when the credits of the others are set
     aside, so unclaimed tokens are not held back.
     """
-    if wanted <= 0 or available <= 0:
+    if requested_tokens <= 0 or available <= 0:
         return 0
     others = _contenders(holders, view, now_ms)
     reserved = int(sum(_reserved(other) for other in others))
@@ -105,7 +105,7 @@
     if most < 1 and all(view.credit >= other.credit for other in others):
         # Less than one token each: it goes to the holder that is owed most.
         most = 1
-    return max(0, min(wanted, available, most))
+    return max(0, min(requested_tokens, available, most))
 
 
 def has_contenders(
--- a/src/radishtrack/rates/lease.py
+++ b/src/radishtrack/rates/lease.py
@@ -66,14 +66,14 @@
     first_seen_ms: float = math.inf
     pending: dict[int, PendingWrite] = attrs.field(factory=dict)
     """Writes in doubt, by revision."""
-    is_mine: bool = False
+    is_own: bool = False
     until_ms: float = -math.inf
     """End of this node's lease."""
     last_sent_ms: float = -math.inf
 
     def is_held(self, now_ms: float) -> bool:
         """Return whether this node may grant tokens."""
-        return self.is_mine and now_ms < self.until_ms
+        return self.is_own and now_ms < self.until_ms
 
     def see(self, record: LeaseRecord | None, version: int, now_ms: float) -> None:
         """Note a version that this node did not write."""
@@ -84,7 +84,7 @@
         self.first_seen_ms = now_ms
         # Writes in doubt expected an older version: they failed or were replaced.
         self.pending.clear()
-        self.is_mine = False
+        self.is_own = False
         self.until_ms = -math.inf
 
     def own_pending(self, record: LeaseRecord | None) -> PendingWrite | None:
@@ -103,15 +103,15 @@
         self.first_seen_ms = now_ms
         # The other writes in doubt expected an older version and can't succeed.
         self.pending.clear()
-        self.is_mine = self.record.released is None
-        if self.is_mine:
+        self.is_own = self.record.released is None
+        if self.is_own:
             self.until_ms = max(
                 self.until_ms, pending.sent_ms + self.record.expires_after_ms
             )
 
     def should_acquire(self, now_ms: float) -> bool:
         """Return whether the lease is free and this node may try to take it."""
-        if self.is_mine or self.version < 0:
+        if self.is_own or self.version < 0:
             return False
         if now_ms - self.last_sent_ms < WRITE_RETRY_MS:
             return False
@@ -123,7 +123,7 @@
 
     def should_renew(self, now_ms: float) -> bool:
         """Return whether the lease of this node is to be extended."""
-        if not self.is_mine or now_ms - self.last_sent_ms < WRITE_RETRY_MS:
+        if not self.is_own or now_ms - self.last_sent_ms < WRITE_RETRY_MS:
             return False
         return now_ms >= self.until_ms - LEASE_MS + RENEW_AFTER_MS
 
@@ -131,7 +131,7 @@
         """Return the epoch of this node's next record."""
         if self.record is None:
             return 1
-        return self.record.epoch if self.is_mine else self.record.epoch + 1
+        return self.record.epoch if self.is_own else self.record.epoch + 1
 
     def next_revision(self) -> int:
         """Return a revision that no known write has."""
@@ -152,7 +152,7 @@
         node grant tokens that it has handed over.
         """
         self.pending.clear()
-        self.is_mine = False
+        self.is_own = False
         self.until_ms = -math.inf
 
 
--- a/src/radishtrack/rates/messages.py
+++ b/src/radishtrack/rates/messages.py
@@ -95,7 +95,7 @@
         Name of the holder, unique for each process start.
     request_id : int
         Increases with every request of this holder and organisation.
-    wanted : int
+    requested_tokens : int
         Tokens requested; 0 for a message that only settles or lends.
     demand_per_second : float
         Recent arrivals at the holder.
@@ -113,7 +113,7 @@
     organisation: str
     holder: str
     request_id: int
-    wanted: int
+    requested_tokens: int
     demand_per_second: float = 0.0
     settlements: tuple[Settlement, ...] = ()
     echo: Stamp | None = None
--- a/src/radishtrack/rates/share.py
+++ b/src/radishtrack/rates/share.py
@@ -224,8 +224,8 @@
         self.grants.clear()
         return self.make_request(now_ms, 0)
 
-    def make_request(self, now_ms: float, wanted: int) -> TokenRequest:
-        """Return a request for `wanted` tokens, or only a report if that is 0."""
+    def make_request(self, now_ms: float, requested_tokens: int) -> TokenRequest:
+        """Return a token request; one for 0 tokens only reports settlements."""
         request_id = self.next_request_id
         self.next_request_id += 1
         # A grant for an older request would have expired on arrival.
@@ -245,7 +245,7 @@
             self.organisation,
             self.holder,
             request_id,
-            wanted,
+            requested_tokens,
             self.demand.per_second(now_ms),
             settlements,
             self.echo,
--- a/src/radishtrack/rates/standing_share.py
+++ b/src/radishtrack/rates/standing_share.py
@@ -52,7 +52,7 @@
         self.bucket.refill(now_ms)
         if self.bucket.available() < 1:
             return False
-        self.bucket.take(1)
+        self.bucket.consume(1)
         return True
 
     def apply(
--- a/tests/test_rate_refusals.py
+++ b/tests/test_rate_refusals.py
@@ -64,7 +64,7 @@
             self.waiting[self.pattern(self.next_ms, self.source)].append(self.next_ms)
             self.central.refill(self.next_ms)
             if self.central.available():
-                self.central.take(1)
+                self.central.consume(1)
                 self.within_rate += 1
             self.next_ms += self.source.expovariate(RATE * LOAD / 1_000.0)
         for queue in self.waiting:
@@ -127,7 +127,7 @@
         for bucket, queue in zip(buckets, queues.waiting, strict=True):
             bucket.refill(float(now_ms))
             while queue and bucket.available():
-                bucket.take(1)
+                bucket.consume(1)
                 queue.popleft()
     return queues.refused_part()
 
