--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -44,7 +44,7 @@
         request.holder,
         request.request_id,
         Stamp(1, request.request_id, 0.0),
-        request.requested_tokens,
+        request.token_count,
         500.0,
     )
 
--- a/src/radishtrack/rates/allocator.py
+++ b/src/radishtrack/rates/allocator.py
@@ -1,8 +1,9 @@
 """The allocator of one organisation: keeps the token bucket and grants tokens.
 
-It counts the standing share of a holder as used, unless the holder lends it: the
-holder leaves it unused for `LOAN_MS` after it receives a grant, and says so by
-echoing the grant's stamp. The allocator counts the loan from when it made that grant.
+A standing share is the fixed part of the limit that a holder may use without the
+allocator. It is set aside unless the holder delegates it: the holder then leaves it
+unused for `DELEGATION_MS` from the receipt of a grant, and echoes the grant's stamp.
+The allocator counts this time from when it made the grant.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 from radishtrack.rates.bucket import Bucket, make_empty_bucket
 from radishtrack.rates.holder_view import (
-    LOWEST_CREDIT,
+    MIN_CREDIT,
     HolderView,
     accrue_credits,
     fair_tokens,
@@ -29,8 +30,8 @@
     make_lease_state,
 )
 from radishtrack.rates.messages import (
+    DELEGATION_MS,
     DRIFT_MARGIN,
-    LOAN_MS,
     MAX_GRANT_VALIDITY_MS,
     MICRO,
     MIN_GRANT_VALIDITY_MS,
@@ -47,15 +48,15 @@
 from radishtrack.rates.reservations import Reservations, make_reservations
 from radishtrack.rates.standing_plan import Amount, plan_shares, sum_set_aside
 
-LOAN_STOP_MS: Final = 4_000.0
-"""Loans are given back when the rest of the lease is this short, so that the holders
+DELEGATION_STOP_MS: Final = 4_000.0
+"""Delegations end when the rest of the lease is this short, so that the holders
 have their standing shares before a platform outage ends the lease."""
 MIN_RETRY_MS: Final = 25.0
 """Bounds the token requests of a holder whose organisation is over its rate."""
 MAX_RETRY_MS: Final = 1_000.0
-MAX_TURN_MS: Final = 100.0
-"""Longest pause for the sake of other holders that wait for tokens."""
-HOLDER_MEMORY_MS: Final = STANDING_VALIDITY_MS
+MAX_CONTENTION_WAIT_MS: Final = 100.0
+"""Longest retry time that is due to other holders waiting for tokens."""
+HOLDER_RETENTION_MS: Final = STANDING_VALIDITY_MS
 
 
 @attrs.define
@@ -80,42 +81,42 @@
     sequence: int = 0
     holders: dict[str, HolderView] = attrs.field(factory=dict)
     reservations: Reservations = attrs.field(factory=make_reservations)
-    void_ms: float = -math.inf
-    """Loans from grants up to this time are void."""
-    share_seen_ms: dict[StandingShare, float] = attrs.field(factory=dict)
-    """When a share was first known to be in force."""
+    delegations_ended_ms: float = -math.inf
+    """Echoes of grants made up to this time start no delegation."""
+    share_in_force_ms: dict[StandingShare, float] = attrs.field(factory=dict)
+    """When a write of this allocator that contains the share first took effect."""
     released: ReleasedLevel | None = None
 
     def observe(self, record: LeaseRecord | None, version: int, now_ms: float) -> None:
-        """Apply what a read or a watch returned; version 0 if there is no record."""
-        pending = self.lease.own_pending(record)
+        """Apply the result of a read or watch; version 0 if there is no record."""
+        pending = self.lease.find_own_write(record)
         if pending is not None:
             self._confirm(pending, version, now_ms)
             return
-        self.lease.see(record, version, now_ms)
+        self.lease.observe(record, version, now_ms)
         if not self.lease.is_own:
             self.bucket = None
 
     def should_acquire(self, now_ms: float) -> bool:
-        """Return whether the lease is free and this node may try to take it."""
+        """Return whether the lease is free and this node may try to acquire it."""
         return self.lease.should_acquire(now_ms)
 
     def should_renew(self, now_ms: float) -> bool:
-        """Return whether the lease of this node is to be extended."""
+        """Return whether this node should extend its lease."""
         return self.lease.should_renew(now_ms)
 
     def prepare_write(self, now_ms: float) -> LeaseWrite:
         """Return the write that acquires or renews the lease.
 
         Call it directly before sending: the lease is measured from `now_ms`. After a
-        conflict, or without an answer, read the object and call `observe`.
+        conflict, or without a response, read the object and call `observe`.
         """
         revision = self.lease.next_revision()
-        oldest_ms = now_ms - HOLDER_MEMORY_MS
+        oldest_ms = now_ms - HOLDER_RETENTION_MS
         self.holders = {
             name: view
             for name, view in self.holders.items()
-            if view.seen_ms >= oldest_ms
+            if view.last_request_ms >= oldest_ms
         }
         previous = self.lease.record
         # The holders scale their shares by the limit from which they were computed.
@@ -130,23 +131,22 @@
             limit,
             self._plan(revision, now_ms),
         )
-        return self.lease.send(record, now_ms)
+        return self.lease.begin_write(record, now_ms)
 
     def on_lease_written(self, revision: int, version: int, now_ms: float) -> None:
-        """Note the platform's positive answer to a write."""
+        """Apply the platform's confirmation of a write."""
         pending = self.lease.pending.get(revision)
         if pending is not None:
             self._confirm(pending, version, now_ms)
 
-    def on_holder_gone(self, holder: str) -> None:
-        """Plan no further standing share for a holder that was replaced.
+    def on_holder_replaced(self, holder: str) -> None:
+        """Plan no further standing share for a holder that the membership replaced.
 
-        A hint from the membership: its present share stays set aside while the
-        holder could still be using it.
+        Its present share stays set aside while the holder could still be using it.
         """
         view = self.holders.get(holder)
         if view is not None:
-            view.is_gone = True
+            view.is_replaced = True
 
     def prepare_release(self, now_ms: float) -> LeaseWrite | None:
         """Stop granting and return the write that hands the bucket over.
@@ -157,21 +157,16 @@
         if self.lease.is_own and self.bucket is not None:
             self._advance(now_ms)
             self.released = ReleasedLevel(self.bucket.level_units, self.bucket.reserved)
-            self.lease.give_up()
+            self.lease.relinquish()
             self.bucket = None
-        is_latest_own = record is not None and (record.holder_node, record.epoch) == (
+        is_ours = record is not None and (record.holder_node, record.epoch) == (
             self.lease.node,
             self.epoch,
         )
-        if (
-            record is None
-            or self.released is None
-            or not is_latest_own
-            or record.released
-        ):
+        if record is None or self.released is None or not is_ours or record.released:
             return None
         revision = self.lease.next_revision()
-        return self.lease.send(
+        return self.lease.begin_write(
             attrs.evolve(record, revision=revision, released=self.released), now_ms
         )
 
@@ -186,19 +181,19 @@
     def on_request(
         self, request: TokenRequest, now_ms: float
     ) -> TokenGrant | NotAllocator:
-        """Answer a holder's request.
+        """Process a holder's request.
 
         Parameters
         ----------
         request : TokenRequest
-            Request as received; it may be late, repeated or out of order.
+            Request as received; it may be late, duplicated or out of order.
         now_ms : float
             Present time on this node's clock.
 
         Returns
         -------
         TokenGrant or NotAllocator
-            The grant, perhaps of no tokens.
+            The grant, which may have no tokens.
         """
         if self.bucket is None or not self.lease.is_held(now_ms):
             return NotAllocator(self.organisation)
@@ -207,7 +202,7 @@
         if view is None:
             view = self.holders[request.holder] = make_holder_view(now_ms)
         self._settle(request)
-        self._learn(view, request, now_ms)
+        self._update(view, request, now_ms)
         self._reconfigure(now_ms)
         if request.request_id <= view.last_request_id:
             last = view.last_grant
@@ -219,7 +214,7 @@
         return view.last_grant
 
     def grant_validity_ms(self) -> float:
-        """Return the validity of grants: half of the burst at the full rate."""
+        """Return the validity of grants: the time to refill half of the burst."""
         if self.limit.rate_micro == 0:
             return MAX_GRANT_VALIDITY_MS
         half_burst_ms = self.limit.burst * 1000.0 * MICRO / (2 * self.limit.rate_micro)
@@ -232,7 +227,7 @@
         is_new = not self.lease.is_own and record.released is None
         self.lease.confirm(pending, version, now_ms)
         for share in record.standing_shares:
-            self.share_seen_ms.setdefault(share, now_ms)
+            self.share_in_force_ms.setdefault(share, now_ms)
         if is_new:
             self._start(pending, now_ms)
 
@@ -241,12 +236,12 @@
         self.sequence = 0
         self.holders = {}
         self.reservations = make_reservations()
-        self.void_ms = -math.inf
+        self.delegations_ended_ms = -math.inf
         self.released = None
-        self.share_seen_ms = {
+        self.share_in_force_ms = {
             share: now_ms for share in pending.write.record.standing_shares
         }
-        # The use of the last seconds is unknown after a lapsed lease: start empty.
+        # The use in the last seconds of an expired lease is unknown: start empty.
         self.bucket = make_empty_bucket(self.limit.rate_micro, self.limit.burst, now_ms)
         released = pending.replaced.released if pending.replaced else None
         if released is not None:
@@ -261,10 +256,10 @@
         self._reconfigure(now_ms)
 
     def _advance(self, now_ms: float) -> None:
-        """Count the refill and the expired grants up to now.
+        """Apply the refill and the expiry of grants up to now.
 
-        A loan that ended since the last call counts as ended at that call, which
-        errs on the low side.
+        A delegation that ended since the last call counts as ended at that call,
+        which can only underestimate the available tokens.
         """
         assert self.bucket is not None
         self._reconfigure(now_ms)
@@ -282,14 +277,14 @@
         )
 
     def _set_aside(self, now_ms: float) -> Amount:
-        """Return what holders may use of their standing shares now."""
+        """Return the part of the limit that holders may use as standing shares now."""
         records = [pending.write.record for pending in self.lease.pending.values()]
         if self.lease.record is not None:
             records.append(self.lease.record)
-        lending = {
-            name for name, view in self.holders.items() if view.is_lending(now_ms)
+        delegating = {
+            name for name, view in self.holders.items() if view.is_delegating(now_ms)
         }
-        return sum_set_aside(records, lending)
+        return sum_set_aside(records, delegating)
 
     def _settle(self, request: TokenRequest) -> None:
         assert self.bucket is not None
@@ -297,23 +292,23 @@
             freed = self.reservations.settle(request.holder, settlement)
             self.bucket.settle(freed, min(freed, settlement.returned))
 
-    def _learn(self, view: HolderView, request: TokenRequest, now_ms: float) -> None:
-        view.seen_ms = now_ms
+    def _update(self, view: HolderView, request: TokenRequest, now_ms: float) -> None:
+        view.last_request_ms = now_ms
         view.is_leaving |= request.leaving
         view.revision = max(view.revision, request.standing_revision)
         if request.request_id > view.last_request_id:
             view.demand_per_second = request.demand_per_second
-            if request.requested_tokens > 0:
-                view.wanted_ms = now_ms
+            if request.token_count > 0:
+                view.tokens_requested_ms = now_ms
         echo = request.echo
         # A stamp of another epoch is a time on another node's clock.
         if (
             echo is not None
             and echo.epoch == self.epoch
-            and echo.sent_ms > self.void_ms
+            and echo.sent_ms > self.delegations_ended_ms
         ):
-            view.lent_until_ms = max(
-                view.lent_until_ms, echo.sent_ms + LOAN_MS / DRIFT_MARGIN
+            view.delegated_until_ms = max(
+                view.delegated_until_ms, echo.sent_ms + DELEGATION_MS / DRIFT_MARGIN
             )
 
     def _grant(
@@ -322,27 +317,23 @@
         assert self.bucket is not None
         accrue_credits(self.holders, self.bucket.rate_micro / MICRO, now_ms)
         tokens = fair_tokens(
-            self.holders,
-            view,
-            request.requested_tokens,
-            self.bucket.available(),
-            now_ms,
+            self.holders, view, request.token_count, self.bucket.available(), now_ms
         )
         retry_after_ms = 0.0
         if tokens > 0:
             self.bucket.reserve(tokens)
-            view.credit = max(LOWEST_CREDIT, view.credit - tokens)
+            view.credit = max(MIN_CREDIT, view.credit - tokens)
             self.reservations.add(
                 request.holder,
                 request.request_id,
                 tokens,
                 now_ms + self.grant_validity_ms() * DRIFT_MARGIN,
             )
-        view.is_short = tokens < request.requested_tokens
-        if view.is_short:
+        view.has_shortfall = tokens < request.token_count
+        if view.has_shortfall:
             wait_ms = self.bucket.wait_ms()
             if has_contenders(self.holders, view, now_ms):
-                wait_ms = max(wait_ms, min(view.wait_ms(), MAX_TURN_MS))
+                wait_ms = max(wait_ms, min(view.wait_ms(), MAX_CONTENTION_WAIT_MS))
             retry_after_ms = min(MAX_RETRY_MS, max(MIN_RETRY_MS, wait_ms))
         return self._make_grant(request, tokens, retry_after_ms, now_ms)
 
@@ -351,9 +342,9 @@
     ) -> TokenGrant:
         assert self.bucket is not None
         self.sequence += 1
-        is_loan = self.lease.until_ms - now_ms > LOAN_STOP_MS
-        if not is_loan:
-            self._void_loans(now_ms)
+        is_delegation = self.lease.expires_ms - now_ms > DELEGATION_STOP_MS
+        if not is_delegation:
+            self._end_delegations(now_ms)
         return TokenGrant(
             self.organisation,
             request.holder,
@@ -363,46 +354,44 @@
             self.grant_validity_ms(),
             retry_after_ms,
             tokens > 0 and 2 * self.bucket.reserved >= self.bucket.capacity,
-            is_loan,
+            is_delegation,
         )
 
-    def _void_loans(self, now_ms: float) -> None:
-        self.void_ms = now_ms
+    def _end_delegations(self, now_ms: float) -> None:
+        self.delegations_ended_ms = now_ms
         for view in self.holders.values():
-            view.lent_until_ms = -math.inf
+            view.delegated_until_ms = -math.inf
 
     def _plan(self, revision: int, now_ms: float) -> tuple[StandingShare, ...]:
-        known = self.lease.record.standing_shares if self.lease.record else ()
+        previous = self.lease.record.standing_shares if self.lease.record else ()
         if not self.lease.is_own:
-            return known
-        seen = {
-            name for name, view in self.holders.items() if view.needs_standing_share()
-        }
-        # Holders that this allocator has not heard from keep their share for as long
-        # as it may be in use.
-        quiet = {
+            return previous
+        active = {n for n, view in self.holders.items() if view.needs_standing_share()}
+        # A holder that has sent this allocator no request keeps its share while it
+        # may be in use.
+        unheard = {
             share.holder
-            for share in known
-            if share.holder not in self.holders and not self._is_settled(share, now_ms)
+            for share in previous
+            if share.holder not in self.holders and not self._is_applied(share, now_ms)
         }
-        owners = {share.holder for share in known}
-        ranked = sorted(seen | quiet, key=lambda name: (name not in owners, name))
+        had_share = {share.holder for share in previous}
+        ranked = sorted(active | unheard, key=lambda n: (n not in had_share, n))
         return plan_shares(
-            known,
+            previous,
             ranked,
             self.limit,
             revision,
-            lambda share: self._is_settled(share, now_ms),
+            lambda share: self._is_applied(share, now_ms),
         )
 
-    def _is_settled(self, share: StandingShare, now_ms: float) -> bool:
+    def _is_applied(self, share: StandingShare, now_ms: float) -> bool:
         view = self.holders.get(share.holder)
         if view is not None and (
             view.is_leaving or view.revision >= share.since_revision
         ):
             return True
-        seen_ms = self.share_seen_ms.get(share, math.inf)
-        return now_ms - seen_ms >= STANDING_VALIDITY_MS * DRIFT_MARGIN
+        in_force_ms = self.share_in_force_ms.get(share, math.inf)
+        return now_ms - in_force_ms >= STANDING_VALIDITY_MS * DRIFT_MARGIN
 
 
 def make_allocator(organisation: str, node: str, limit: RateLimit) -> Allocator:
--- a/src/radishtrack/rates/bucket.py
+++ b/src/radishtrack/rates/bucket.py
@@ -1,4 +1,4 @@
-"""Token bucket in integers: admitted <= capacity + rate x time on every interval.
+"""Token bucket in integers: admitted <= capacity + rate x length on every interval.
 
 A reserved token may be used at any time until it is settled. The bucket counts it as
 used at the latest possible time: while it is reserved, the level cannot rise above
@@ -35,9 +35,9 @@
     updated_ns : int
         Time up to which the refill is counted.
     level_units : int
-        Free tokens, in units.
+        Free tokens, in units of 1 / `UNITS_PER_TOKEN` token.
     reserved : int
-        Tokens handed out and not yet settled.
+        Tokens granted and not yet settled.
     """
 
     rate_micro: int
@@ -47,7 +47,7 @@
     reserved: int = 0
 
     def refill(self, now_ms: float) -> None:
-        """Count the refill up to `now_ms`."""
+        """Add the refill up to `now_ms`."""
         now_ns = int(now_ms * NANOSECONDS_PER_MILLISECOND)
         # Both readings are truncated, so 1 ns of the difference may not have passed.
         elapsed_ns = now_ns - self.updated_ns - 1
@@ -55,44 +55,43 @@
             return
         self.updated_ns = now_ns
         added = self.rate_micro * elapsed_ns * DRIFT_NUMERATOR // DRIFT_DENOMINATOR
-        self.level_units = min(self.level_units + added, self.limit_units())
+        self.level_units = min(self.level_units + added, self.max_level_units())
 
-    def limit_units(self) -> int:
-        """Return the highest level that the reserved tokens leave room for."""
+    def max_level_units(self) -> int:
+        """Return the highest level that the reserved tokens allow."""
         return max(0, self.capacity - self.reserved) * UNITS_PER_TOKEN
 
     def available(self) -> int:
-        """Return the whole tokens that are free."""
+        """Return the number of whole free tokens."""
         return self.level_units // UNITS_PER_TOKEN
 
     def consume(self, tokens: int) -> None:
-        """Use `tokens` free tokens now."""
+        """Remove `tokens` free tokens that are used now."""
         self.level_units -= tokens * UNITS_PER_TOKEN
 
     def reserve(self, tokens: int) -> None:
-        """Hand out `tokens` free tokens for use until they are settled."""
+        """Reserve `tokens` free tokens, which may be used until they are settled."""
         self.consume(tokens)
         self.reserved += tokens
 
     def settle(self, tokens: int, returned: int = 0) -> None:
         """End the reservation of `tokens`, of which `returned` were never used.
 
-        Call `refill` first, so that the refill up to now is held under the old
-        limit.
+        Call `refill` first, so that the refill up to now is capped by the old limit.
         """
         self.reserved -= tokens
         self.level_units = min(
-            self.level_units + returned * UNITS_PER_TOKEN, self.limit_units()
+            self.level_units + returned * UNITS_PER_TOKEN, self.max_level_units()
         )
 
     def configure(self, rate_micro: int, capacity: int) -> None:
         """Change rate and capacity from the time of the last refill."""
         self.rate_micro = rate_micro
         self.capacity = capacity
-        self.level_units = min(self.level_units, self.limit_units())
+        self.level_units = min(self.level_units, self.max_level_units())
 
     def wait_ms(self, tokens: int = 1) -> float:
-        """Return the refill time until `tokens` are free, infinite if never."""
+        """Return the time until `tokens` are free; infinite if they never are."""
         missing = tokens * UNITS_PER_TOKEN - self.level_units
         if missing <= 0:
             return 0.0
--- a/src/radishtrack/rates/demand.py
+++ b/src/radishtrack/rates/demand.py
@@ -7,13 +7,13 @@
 
 import attrs
 
-DEMAND_TIME_MS: Final = 500.0
-"""Time constant of the average."""
+DEMAND_TIME_CONSTANT_MS: Final = 500.0
+"""Time constant of the exponential decay."""
 
 
 @attrs.define
 class DemandMeter:
-    """Arrivals per second, weighted by exp(-age / `DEMAND_TIME_MS`)."""
+    """Arrivals per second, weighted by exp(-age / `DEMAND_TIME_CONSTANT_MS`)."""
 
     updated_ms: float
     weight: float = 0.0
@@ -26,12 +26,12 @@
     def per_second(self, now_ms: float) -> float:
         """Return the recent arrivals per second."""
         self._decay(now_ms)
-        return self.weight * 1000.0 / DEMAND_TIME_MS
+        return self.weight * 1000.0 / DEMAND_TIME_CONSTANT_MS
 
     def _decay(self, now_ms: float) -> None:
         elapsed_ms = now_ms - self.updated_ms
         if elapsed_ms > 0:
-            self.weight *= math.exp(-elapsed_ms / DEMAND_TIME_MS)
+            self.weight *= math.exp(-elapsed_ms / DEMAND_TIME_CONSTANT_MS)
             self.updated_ms = now_ms
 
 
--- a/src/radishtrack/rates/fair_division.py
+++ b/src/radishtrack/rates/fair_division.py
@@ -4,14 +4,14 @@
 
 
 def divide_fairly(demands: dict[str, float], rate: float) -> dict[str, float]:
-    """Return each holder's part of `rate`, by max-min fairness.
+    """Return each holder's max-min fair share of `rate`.
 
     Parameters
     ----------
     demands : dict of str to float
-        Requests a second that each holder asks for.
+        Demand of each holder, in requests per second.
     rate : float
-        Requests a second to divide.
+        Rate to divide, in requests per second.
 
     Returns
     -------
@@ -19,13 +19,13 @@
         No holder gets more than its demand, and a holder that gets less than its
         demand gets at least as much as every other.
     """
-    parts: dict[str, float] = {}
-    left = rate
+    shares: dict[str, float] = {}
+    remaining = rate
     by_demand = sorted(demands.items(), key=_demand_of)
     for index, (holder, demand) in enumerate(by_demand):
-        parts[holder] = min(demand, left / (len(by_demand) - index))
-        left -= parts[holder]
-    return parts
+        shares[holder] = min(demand, remaining / (len(by_demand) - index))
+        remaining -= shares[holder]
+    return shares
 
 
 def _demand_of(item: tuple[str, float]) -> float:
--- a/src/radishtrack/rates/lease.py
+++ b/src/radishtrack/rates/lease.py
@@ -1,8 +1,8 @@
 """The lease of an organisation's allocator: who may grant tokens, and until when.
 
-The clocks of two nodes have no common origin. The holder of the lease measures its
-length from before it sent the write; an observer measures it from when it first saw
-that version, with a margin for the clocks' rates.
+The clocks of two nodes have no common origin. The lease holder measures the lease
+from before it sent the write; an observer measures it from when it first read that
+version, with a margin for clock drift.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 LEASE_MS: Final = 15_000.0
 RENEW_AFTER_MS: Final = 6_000.0
 WRITE_RETRY_MS: Final = 1_000.0
-"""Pause before a write whose outcome is unknown is repeated."""
+"""Pause before retrying a write whose outcome is unknown."""
 
 
 @attrs.define(frozen=True)
@@ -33,7 +33,7 @@
     record : LeaseRecord
         New value.
     expected_version : int
-        Version to replace; 0 if the object must not exist.
+        Version that the write replaces; 0 if the object must not exist.
     """
 
     record: LeaseRecord
@@ -42,7 +42,7 @@
 
 @attrs.define(frozen=True)
 class PendingWrite:
-    """A write that may or may not have taken effect."""
+    """A write whose outcome is unknown."""
 
     write: LeaseWrite
     sent_ms: float
@@ -51,7 +51,7 @@
 
 @attrs.define
 class LeaseState:
-    """What one node knows about the lease of one organisation.
+    """One node's state of the lease of one organisation.
 
     Parameters
     ----------
@@ -61,71 +61,71 @@
 
     node: str
     version: int = -1
-    """Highest version seen; -1 before the first read."""
+    """Highest version read or written; -1 before the first read."""
     record: LeaseRecord | None = None
     first_seen_ms: float = math.inf
     pending: dict[int, PendingWrite] = attrs.field(factory=dict)
-    """Writes in doubt, by revision."""
+    """Writes with an unknown outcome, by revision."""
     is_own: bool = False
-    until_ms: float = -math.inf
+    expires_ms: float = -math.inf
     """End of this node's lease."""
     last_sent_ms: float = -math.inf
 
     def is_held(self, now_ms: float) -> bool:
         """Return whether this node may grant tokens."""
-        return self.is_own and now_ms < self.until_ms
+        return self.is_own and now_ms < self.expires_ms
 
-    def see(self, record: LeaseRecord | None, version: int, now_ms: float) -> None:
-        """Note a version that this node did not write."""
+    def observe(self, record: LeaseRecord | None, version: int, now_ms: float) -> None:
+        """Apply a version that this node did not write."""
         if version <= self.version:
             return
         self.version = version
         self.record = record
         self.first_seen_ms = now_ms
-        # Writes in doubt expected an older version: they failed or were replaced.
+        # Pending writes expected an older version: they failed or were replaced.
         self.pending.clear()
         self.is_own = False
-        self.until_ms = -math.inf
+        self.expires_ms = -math.inf
 
-    def own_pending(self, record: LeaseRecord | None) -> PendingWrite | None:
-        """Return the write in doubt that produced `record`, if this node sent it."""
+    def find_own_write(self, record: LeaseRecord | None) -> PendingWrite | None:
+        """Return the pending write of this node that produced `record`, if any."""
         if record is None or record.holder_node != self.node:
             return None
         pending = self.pending.get(record.revision)
         return pending if pending and pending.write.record == record else None
 
     def confirm(self, pending: PendingWrite, version: int, now_ms: float) -> None:
-        """Note that a write of this node took effect as `version`."""
+        """Apply a write of this node that took effect as `version`."""
         if version <= self.version:
             return
         self.version = version
         self.record = pending.write.record
         self.first_seen_ms = now_ms
-        # The other writes in doubt expected an older version and can't succeed.
+        # The other pending writes expected an older version and can't succeed.
         self.pending.clear()
         self.is_own = self.record.released is None
         if self.is_own:
-            self.until_ms = max(
-                self.until_ms, pending.sent_ms + self.record.expires_after_ms
+            self.expires_ms = max(
+                self.expires_ms, pending.sent_ms + self.record.expires_after_ms
             )
 
     def should_acquire(self, now_ms: float) -> bool:
-        """Return whether the lease is free and this node may try to take it."""
+        """Return whether the lease is free and this node may try to acquire it."""
         if self.is_own or self.version < 0:
             return False
         if now_ms - self.last_sent_ms < WRITE_RETRY_MS:
             return False
         if self.record is None or self.record.released is not None:
             return True
-        # Grants of the old allocator may be used for this long after its lease.
+        # Grants of the old allocator may outlive its lease by their full validity.
         wait_ms = self.record.expires_after_ms + MAX_GRANT_VALIDITY_MS
         return now_ms - self.first_seen_ms >= wait_ms * DRIFT_MARGIN
 
     def should_renew(self, now_ms: float) -> bool:
-        """Return whether the lease of this node is to be extended."""
+        """Return whether this node should extend its lease."""
         if not self.is_own or now_ms - self.last_sent_ms < WRITE_RETRY_MS:
             return False
-        return now_ms >= self.until_ms - LEASE_MS + RENEW_AFTER_MS
+        return now_ms >= self.expires_ms - LEASE_MS + RENEW_AFTER_MS
 
     def next_epoch(self) -> int:
         """Return the epoch of this node's next record."""
@@ -134,28 +134,28 @@
         return self.record.epoch if self.is_own else self.record.epoch + 1
 
     def next_revision(self) -> int:
-        """Return a revision that no known write has."""
-        known = self.record.revision if self.record is not None else 0
-        return max(known, *self.pending, 0) + 1
+        """Return a revision above those of the record and of all pending writes."""
+        latest = self.record.revision if self.record is not None else 0
+        return max(latest, *self.pending, 0) + 1
 
-    def send(self, record: LeaseRecord, now_ms: float) -> LeaseWrite:
-        """Note that `record` is about to be written."""
+    def begin_write(self, record: LeaseRecord, now_ms: float) -> LeaseWrite:
+        """Register `record` as a pending write and return the write to send."""
         write = LeaseWrite(record, self.version)
         self.pending[record.revision] = PendingWrite(write, now_ms, self.record)
         self.last_sent_ms = now_ms
         return write
 
-    def give_up(self) -> None:
+    def relinquish(self) -> None:
         """Stop granting before the release is written.
 
-        A renewal in doubt is forgotten, so that seeing it later does not make this
-        node grant tokens that it has handed over.
+        Pending renewals are dropped, so that reading one later does not make this node
+        grant tokens that it has handed over.
         """
         self.pending.clear()
         self.is_own = False
-        self.until_ms = -math.inf
+        self.expires_ms = -math.inf
 
 
 def make_lease_state(node: str) -> LeaseState:
-    """Return the state of a node that has read nothing yet."""
+    """Return the state of a node before its first read."""
     return LeaseState(node)
--- a/src/radishtrack/rates/messages.py
+++ b/src/radishtrack/rates/messages.py
@@ -10,12 +10,12 @@
 CLOCK_DRIFT: Final = 0.001
 """Largest relative difference between a clock's rate and true time."""
 DRIFT_MARGIN: Final = 1.0021
-"""At least (1 + drift) / (1 - drift): converts a time bound between two clocks."""
+"""At least (1 + drift) / (1 - drift), to convert a time limit between two clocks."""
 MAX_GRANT_VALIDITY_MS: Final = 500.0
 MIN_GRANT_VALIDITY_MS: Final = 10.0
 """Below this a grant would expire on its way to the holder."""
-LOAN_MS: Final = 10_000.0
-"""How long a holder leaves its standing share unused after a grant with a loan."""
+DELEGATION_MS: Final = 10_000.0
+"""Time for which a holder delegates its standing share on receipt of a grant."""
 STANDING_VALIDITY_MS: Final = 3_600_000.0
 
 
@@ -47,7 +47,7 @@
 
 @attrs.define(frozen=True, order=True)
 class Stamp:
-    """Identifies a grant as the origin of a loan.
+    """Identifies a grant that starts or renews a delegation.
 
     Parameters
     ----------
@@ -71,11 +71,11 @@
     Parameters
     ----------
     request_id : int
-        Request that the grant answered.
+        Request that was granted.
     remaining : int
         Tokens of the grant that may still be used.
     returned : int
-        Tokens given back unused; they will not be used.
+        Tokens returned unused; the holder will not use them.
     """
 
     request_id: int
@@ -85,7 +85,7 @@
 
 @attrs.define(frozen=True)
 class TokenRequest:
-    """A holder asks its organisation's allocator for tokens.
+    """Request from a holder to its organisation's allocator.
 
     Parameters
     ----------
@@ -95,15 +95,15 @@
         Name of the holder, unique for each process start.
     request_id : int
         Increases with every request of this holder and organisation.
-    requested_tokens : int
-        Tokens requested; 0 for a message that only settles or lends.
+    token_count : int
+        Tokens requested; 0 for a message that only settles or delegates.
     demand_per_second : float
         Recent arrivals at the holder.
     settlements : tuple of Settlement
         State of the grants held since the last request.
     echo : Stamp or None
-        Latest grant with a loan: the standing share is unused for `LOAN_MS` from its
-        receipt.
+        Stamp of the latest grant that renewed the delegation: the standing share is
+        unused for `DELEGATION_MS` from its receipt.
     standing_revision : int
         Revision of the lease record whose standing share the holder applies.
     leaving : bool
@@ -113,7 +113,7 @@
     organisation: str
     holder: str
     request_id: int
-    requested_tokens: int
+    token_count: int
     demand_per_second: float = 0.0
     settlements: tuple[Settlement, ...] = ()
     echo: Stamp | None = None
@@ -123,7 +123,7 @@
 
 @attrs.define(frozen=True)
 class TokenGrant:
-    """Answer of an allocator.
+    """Response of an allocator to a token request.
 
     Parameters
     ----------
@@ -132,7 +132,7 @@
     holder : str
         Holder of the request.
     request_id : int
-        Request that is answered.
+        Request that this responds to.
     stamp : Stamp
         Epoch and number of this grant.
     tokens : int
@@ -140,12 +140,13 @@
     valid_ms : float
         Validity from the time the holder sent the request, in milliseconds.
     retry_after_ms : float
-        Earliest useful time of another request when no token was granted.
+        Time after receipt from which another request is useful; set if fewer tokens
+        were granted than requested.
     settle_at_once : bool
-        Report the use of this grant without waiting for the next request.
-    loan : bool
-        The allocator uses the holder's standing share; if false, the holder may use
-        it at once.
+        Whether to report the use of this grant without waiting for the next request.
+    is_delegation : bool
+        Whether the holder delegates its standing share to the allocator on receipt; if
+        false, it may use the share at once.
     """
 
     organisation: str
@@ -156,34 +157,35 @@
     valid_ms: float
     retry_after_ms: float = 0.0
     settle_at_once: bool = False
-    loan: bool = True
+    is_delegation: bool = True
 
 
 @attrs.define(frozen=True)
 class NotAllocator:
-    """The node that was asked does not hold the organisation's lease."""
+    """Response of a node that does not hold the organisation's lease."""
 
     organisation: str
 
 
 @attrs.define(frozen=True)
 class StandingShare:
-    """Part of the limit that one holder may use without an allocator.
+    """Fixed part of the limit that one holder may use without an allocator.
 
     Parameters
     ----------
     holder : str
-        Holder that owns the share.
+        Holder to which the share belongs.
     rate_micro : int
         Rate in millionths of a request per second.
     burst : int
-        Requests at once.
+        Requests admitted at once after a pause.
     since_revision : int
         Revision of the lease record that set this rate and burst.
     held_rate_micro : int
-        Rate that the holder may still use by an older record; at least `rate_micro`.
+        Rate that the holder may still use under an older record; at least
+        `rate_micro`.
     held_burst : int
-        Burst that the holder may still use by an older record; at least `burst`.
+        Burst that the holder may still use under an older record; at least `burst`.
     """
 
     holder: str
@@ -201,7 +203,7 @@
     Parameters
     ----------
     level_units : int
-        Tokens left, in units of the bucket.
+        Tokens left, in units of 1 / `UNITS_PER_TOKEN` token.
     outstanding : int
         Granted tokens that may still be in use.
     """
@@ -219,13 +221,13 @@
     organisation : str
         Organisation whose tokens are allocated.
     holder_node : str
-        Allocator, unique for each process start.
+        Name of the allocator's node, unique for each process start.
     epoch : int
         Increases with every change of allocator.
     revision : int
         Increases with every write.
     expires_after_ms : float
-        Length of the lease.
+        Duration of the lease.
     limit : RateLimit
         Limit from which the standing shares were computed.
     standing_shares : tuple of StandingShare
--- a/src/radishtrack/rates/record.py
+++ b/src/radishtrack/rates/record.py
@@ -1,4 +1,4 @@
-"""The platform's value of ``allocators/<organisation>`` and its typed form."""
+"""Encodes and decodes the platform object ``allocators/<organisation>``."""
 
 from __future__ import annotations
 
@@ -20,7 +20,10 @@
 
 
 def encode_lease(record: LeaseRecord) -> dict[str, Any]:
-    """Return the platform value of a record; numbers beyond 2**53 become text."""
+    """Return the platform value of a record.
+
+    The level is written as text, because it can exceed 2**53.
+    """
     value: dict[str, Any] = attrs.asdict(record)
     value["standing_shares"] = list(value["standing_shares"])
     if record.released is not None:
@@ -34,7 +37,7 @@
     Raises
     ------
     LeaseRecordError
-        If a field is missing or has the wrong form.
+        If a field is missing or invalid.
     """
     try:
         released = value["released"]
@@ -53,4 +56,6 @@
             ),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise LeaseRecordError(f"not a lease record: {error!r}") from error
+        raise LeaseRecordError(
+            f"missing or invalid field in lease record: {error!r}"
+        ) from error
--- a/src/radishtrack/rates/reservations.py
+++ b/src/radishtrack/rates/reservations.py
@@ -17,11 +17,11 @@
     Parameters
     ----------
     expires_ms : float
-        Time on the allocator's clock after which the holder can't use them.
+        Time on the allocator's clock from which the holder can't use them.
     holder : str
         Holder of the grant.
     request_id : int
-        Request that the grant answered.
+        Request that was granted.
     tokens : int
         Tokens that may still be used.
     """
@@ -46,7 +46,7 @@
         heapq.heappush(self.by_expiry, reservation)
 
     def settle(self, holder: str, settlement: Settlement) -> int:
-        """Return how many tokens `settlement` frees; a repeated one frees none."""
+        """Apply `settlement`; return how many tokens it frees, 0 if it is repeated."""
         reservation = self.by_request.get((holder, settlement.request_id))
         if reservation is None or settlement.remaining >= reservation.tokens:
             return 0
@@ -57,7 +57,7 @@
         return freed
 
     def pop_expired(self, now_ms: float) -> Iterator[Reservation]:
-        """Remove and yield the reservations that ended, oldest first."""
+        """Remove the expired reservations and yield those with tokens, oldest first."""
         while self.by_expiry and self.by_expiry[0].expires_ms <= now_ms:
             reservation = heapq.heappop(self.by_expiry)
             self.by_request.pop((reservation.holder, reservation.request_id), None)
--- a/src/radishtrack/rates/share.py
+++ b/src/radishtrack/rates/share.py
@@ -27,11 +27,11 @@
 PREFETCH_HORIZON_MS: Final = 20.0
 """New tokens are requested when the held ones cover less than this."""
 MAX_UNMET: Final = 64
-"""Requests beyond those that may wait for tokens would not use them."""
+"""No more requests than this may wait, so more tokens would not be used."""
 HEARTBEAT_MS: Final = 4000.0
-"""Longest pause between requests of an idle holder, so that its share stays lent."""
+"""Longest pause between requests of an idle holder, to keep its share delegated."""
 RETURN_MARGIN_MS: Final = 50.0
-"""Unused tokens are given back when the grant's remaining validity is this short."""
+"""Unused tokens are returned when the grant's remaining validity is this short."""
 
 
 @attrs.define(frozen=True)
@@ -106,7 +106,7 @@
     demand : DemandMeter
         Recent arrivals.
     standing : StandingState
-        Share for times without an allocator.
+        Share that is used while no allocator is available.
     """
 
     organisation: str
@@ -122,15 +122,15 @@
     """Time at which each unanswered request was sent."""
     next_request_id: int = 1
     unmet: int = 0
-    """Requests that wait for tokens and were not counted in a token request."""
+    """Waiting requests that no token request has counted yet."""
     refused_until_ms: float = -math.inf
     last_sent_ms: float = -math.inf
     epoch: int = 0
     latest_stamp: Stamp | None = None
     echo: Stamp | None = None
     leaving: bool = False
-    settles_soon: bool = False
-    """A used grant is to be settled as soon as no request is pending."""
+    needs_settlement: bool = False
+    """Whether a used grant must be settled as soon as no request is pending."""
 
     def try_admit(self, now_ms: float) -> Admission:
         """Decide on one request.
@@ -147,32 +147,34 @@
             self._drop_expired(now_ms)
         if self.grants:
             return self._use_grant(self.grants[0], now_ms)
-        if self.standing.try_take(now_ms):
+        if self.standing.try_consume(now_ms):
             return ADMITTED
         if now_ms < self.refused_until_ms:
             return Refused(self.refused_until_ms - now_ms)
-        if self._is_waiting(now_ms):
+        if self._is_request_pending(now_ms):
             self.unmet = min(self.unmet + 1, MAX_UNMET)
             return NeedTokens(None, self.last_sent_ms + REQUEST_TIMEOUT_MS)
-        request = self.make_request(now_ms, max(1 + self.unmet, self._batch(now_ms)))
+        request = self.make_request(
+            now_ms, max(1 + self.unmet, self._batch_size(now_ms))
+        )
         return NeedTokens(request, now_ms + REQUEST_TIMEOUT_MS)
 
     def on_grant(self, grant: TokenGrant, now_ms: float) -> bool:
-        """Take the tokens of a grant; return whether they can be used."""
+        """Store the tokens of a grant; return whether they can be used."""
         sent_ms = self.pending.pop(grant.request_id, None)
         if sent_ms is None or grant.stamp.epoch < self.epoch:
             return False
         self.epoch = grant.stamp.epoch
-        self._apply_loan(grant, now_ms)
+        self._apply_delegation(grant, now_ms)
         if grant.retry_after_ms > 0:
             self.refused_until_ms = now_ms + grant.retry_after_ms
-        # Measured from the sending of the request, because the time for which the
-        # grant was under way is unknown to the holder.
+        # Measured from when the request was sent, because the holder does not know how
+        # long the grant was in transit.
         expires_ms = sent_ms + min(grant.valid_ms, MAX_GRANT_VALIDITY_MS)
         if grant.tokens <= 0:
             return False
         if expires_ms <= now_ms:
-            self._note(grant.request_id, 0, grant.tokens)
+            self._record_settlement(grant.request_id, 0, grant.tokens)
             return False
         self.grants.append(
             HeldGrant(grant.request_id, grant.tokens, expires_ms, grant.settle_at_once)
@@ -181,7 +183,7 @@
         return True
 
     def on_request_failed(self, request_id: int, now_ms: float) -> None:
-        """Note that a request did not reach an allocator."""
+        """Stop waiting for a request that did not reach an allocator."""
         if self.pending.pop(request_id, None) is not None:
             self.refused_until_ms = now_ms + FAILURE_RETRY_MS
 
@@ -204,48 +206,48 @@
             self.standing.apply(record, self.holder, read_sent_ms, now_ms)
 
     def tick(self, now_ms: float) -> TokenRequest | None:
-        """Return a request that gives back unused tokens or renews the loan."""
+        """Return a request that returns tokens or renews the delegation, if due."""
         self._drop_expired(now_ms)
-        self._give_back(now_ms)
+        self._return_surplus(now_ms)
         is_returning = any(change.returned for change in self.settlements.values())
-        is_silent = now_ms - self.last_sent_ms >= HEARTBEAT_MS
-        if self.settles_soon and not self._is_waiting(now_ms):
+        is_heartbeat_due = now_ms - self.last_sent_ms >= HEARTBEAT_MS
+        if self.needs_settlement and not self._is_request_pending(now_ms):
             return self.make_request(now_ms, 0)
-        if is_returning or (is_silent and self.standing.share is not None):
+        if is_returning or (is_heartbeat_due and self.standing.share is not None):
             return self.make_request(now_ms, 0)
         return None
 
     def leave(self, now_ms: float) -> TokenRequest:
-        """Give everything back when the holder drains."""
+        """Return all tokens and the standing share when the holder drains."""
         self.leaving = True
-        self.standing.give_up()
+        self.standing.discard()
         for grant in self.grants:
-            self._note(grant.request_id, 0, grant.tokens)
+            self._record_settlement(grant.request_id, 0, grant.tokens)
         self.grants.clear()
         return self.make_request(now_ms, 0)
 
-    def make_request(self, now_ms: float, requested_tokens: int) -> TokenRequest:
+    def make_request(self, now_ms: float, token_count: int) -> TokenRequest:
         """Return a token request; one for 0 tokens only reports settlements."""
         request_id = self.next_request_id
         self.next_request_id += 1
         # A grant for an older request would have expired on arrival.
         oldest_ms = now_ms - MAX_GRANT_VALIDITY_MS
         self.pending = {
-            known_id: sent_ms
-            for known_id, sent_ms in self.pending.items()
+            pending_id: sent_ms
+            for pending_id, sent_ms in self.pending.items()
             if sent_ms > oldest_ms
         }
         self.pending[request_id] = now_ms
         self.last_sent_ms = now_ms
         self.unmet = 0
-        self.settles_soon = False
+        self.needs_settlement = False
         settlements = tuple(self.settlements.values())
         self.settlements.clear()
         return TokenRequest(
             self.organisation,
             self.holder,
             request_id,
-            requested_tokens,
+            token_count,
             self.demand.per_second(now_ms),
             settlements,
             self.echo,
@@ -266,57 +268,59 @@
         grant.tokens -= 1
         if grant.tokens == 0:
             del self.grants[0]
-            self.settles_soon |= grant.settle_at_once
-        self._note(grant.request_id, grant.tokens)
-        if self._is_waiting(now_ms):
+            self.needs_settlement |= grant.settle_at_once
+        self._record_settlement(grant.request_id, grant.tokens)
+        if self._is_request_pending(now_ms):
             return ADMITTED
         held = grant.tokens if len(self.grants) == 1 else self.held_tokens()
         needed = self.demand.per_second(now_ms) * PREFETCH_HORIZON_MS / 1000.0
         if now_ms >= self.refused_until_ms and held < needed - 1.0:
-            return Admitted(self.make_request(now_ms, self._batch(now_ms)))
-        if self.settles_soon:
+            return Admitted(self.make_request(now_ms, self._batch_size(now_ms)))
+        if self.needs_settlement:
             return Admitted(self.make_request(now_ms, 0))
         return ADMITTED
 
-    def _batch(self, now_ms: float) -> int:
+    def _batch_size(self, now_ms: float) -> int:
         return math.ceil(self.demand.per_second(now_ms) * BATCH_HORIZON_MS / 1000.0)
 
-    def _is_waiting(self, now_ms: float) -> bool:
+    def _is_request_pending(self, now_ms: float) -> bool:
         return bool(self.pending) and now_ms - self.last_sent_ms < REQUEST_TIMEOUT_MS
 
-    def _note(self, request_id: int, remaining: int, returned: int = 0) -> None:
-        known = self.settlements.get(request_id)
-        before = known.returned if known is not None else 0
+    def _record_settlement(
+        self, request_id: int, remaining: int, returned: int = 0
+    ) -> None:
+        previous = self.settlements.get(request_id)
+        returned_before = previous.returned if previous is not None else 0
         self.settlements[request_id] = Settlement(
-            request_id, remaining, before + returned
+            request_id, remaining, returned_before + returned
         )
 
     def _drop_expired(self, now_ms: float) -> None:
         while self.grants and self.grants[0].expires_ms <= now_ms:
             grant = self.grants.pop(0)
-            self._note(grant.request_id, 0, grant.tokens)
+            self._record_settlement(grant.request_id, 0, grant.tokens)
 
-    def _give_back(self, now_ms: float) -> None:
+    def _return_surplus(self, now_ms: float) -> None:
         for grant in list(self.grants):
             left_ms = grant.expires_ms - now_ms
             needed = math.ceil(self.demand.per_second(now_ms) * left_ms / 1000.0)
             surplus = grant.tokens - needed
             if left_ms < RETURN_MARGIN_MS and surplus > 0:
                 grant.tokens -= surplus
-                self._note(grant.request_id, grant.tokens, surplus)
+                self._record_settlement(grant.request_id, grant.tokens, surplus)
                 if grant.tokens == 0:
                     self.grants.remove(grant)
 
-    def _apply_loan(self, grant: TokenGrant, now_ms: float) -> None:
+    def _apply_delegation(self, grant: TokenGrant, now_ms: float) -> None:
         if self.latest_stamp is not None and grant.stamp <= self.latest_stamp:
             return
         self.latest_stamp = grant.stamp
-        if grant.loan:
+        if grant.is_delegation:
             self.echo = grant.stamp
-            self.standing.lend(now_ms)
+            self.standing.delegate(now_ms)
         else:
             self.echo = None
-            self.standing.end_loan(now_ms)
+            self.standing.end_delegation(now_ms)
 
 
 def _by_expiry(grant: HeldGrant) -> float:
--- a/src/radishtrack/rates/standing_plan.py
+++ b/src/radishtrack/rates/standing_plan.py
@@ -10,7 +10,7 @@
 from radishtrack.rates.messages import LeaseRecord, RateLimit, StandingShare
 
 STANDING_DIVISOR: Final = 2
-"""Half of the limit may be held in standing shares."""
+"""Standing shares may use half of the limit."""
 
 
 @attrs.define(frozen=True)
@@ -21,11 +21,11 @@
     burst: int
 
 
-NOTHING: Final = Amount(0, 0)
+ZERO_AMOUNT: Final = Amount(0, 0)
 
 
 def sum_held(shares: Iterable[StandingShare]) -> Amount:
-    """Return what the holders of `shares` may use together."""
+    """Return the most that the holders of `shares` may use together."""
     held = list(shares)
     return Amount(
         sum(share.held_rate_micro for share in held),
@@ -33,25 +33,25 @@
     )
 
 
-def sum_set_aside(records: Iterable[LeaseRecord], lending: set[str]) -> Amount:
+def sum_set_aside(records: Iterable[LeaseRecord], delegating: set[str]) -> Amount:
     """Return the most that holders may use, whichever of `records` is in force.
 
     Parameters
     ----------
     records : iterable of LeaseRecord
-        The record in force and those of writes in doubt.
+        The record in force and those of pending writes.
     lending : set of str
         Holders that leave their share unused.
     """
     largest: dict[str, Amount] = {}
     for record in records:
         for share in record.standing_shares:
-            if share.holder in lending:
+            if share.holder in delegating:
                 continue
-            known = largest.get(share.holder, NOTHING)
+            largest_yet = largest.get(share.holder, ZERO_AMOUNT)
             largest[share.holder] = Amount(
-                max(known.rate_micro, share.held_rate_micro),
-                max(known.burst, share.held_burst),
+                max(largest_yet.rate_micro, share.held_rate_micro),
+                max(largest_yet.burst, share.held_burst),
             )
     return Amount(
         sum(amount.rate_micro for amount in largest.values()),
@@ -60,29 +60,29 @@
 
 
 def plan_shares(
-    known: Iterable[StandingShare],
+    previous: Iterable[StandingShare],
     holders: Iterable[str],
     limit: RateLimit,
     revision: int,
-    is_settled: Callable[[StandingShare], bool],
+    is_applied: Callable[[StandingShare], bool],
 ) -> tuple[StandingShare, ...]:
-    """Divide half of the limit equally over the holders.
+    """Divide half of the limit equally between the holders.
 
-    A share that shrinks stays set aside at its old size until its holder is known to
-    apply the new one, so growing shares only get what is free.
+    A share that shrinks stays set aside at its old size until its holder certainly
+    applies the new one, so shares only grow into what is free.
 
     Parameters
     ----------
     known : iterable of StandingShare
         Shares of the last record.
     holders : iterable of str
-        Holders that are to have a share, most important first.
+        Holders that need a share, by descending priority.
     limit : RateLimit
         Configured limit.
     revision : int
-        Revision of the record that is planned.
-    is_settled : callable
-        Whether the holder of a share can no longer use an older, larger one.
+        Revision of the planned record.
+    is_applied : callable
+        Returns whether the holder of a share can no longer use an older, larger one.
 
     Returns
     -------
@@ -91,17 +91,17 @@
     """
     half_rate = limit.rate_micro // STANDING_DIVISOR
     half_burst = limit.burst // STANDING_DIVISOR
-    # A share without one whole request of burst could never be used.
-    chosen = list(holders)[:half_burst]
-    count = max(1, len(chosen))
+    # A share with a burst below one request could never be used.
+    selected = list(holders)[:half_burst]
+    count = max(1, len(selected))
     target = Amount(half_rate // count, half_burst // count)
     shares = {
         share.holder: _shrink(
-            share, target, share.holder in chosen, revision, is_settled
+            share, target, share.holder in selected, revision, is_applied
         )
-        for share in known
+        for share in previous
     }
-    for holder in chosen:
+    for holder in selected:
         held = sum_held(shares.values())
         free = Amount(half_rate - held.rate_micro, half_burst - held.burst)
         share = shares.get(holder, StandingShare(holder, 0, 0, revision, 0, 0))
@@ -116,26 +116,26 @@
 def _shrink(
     share: StandingShare,
     target: Amount,
-    is_chosen: bool,
+    is_selected: bool,
     revision: int,
-    is_settled: Callable[[StandingShare], bool],
+    is_applied: Callable[[StandingShare], bool],
 ) -> StandingShare:
-    if is_settled(share):
+    if is_applied(share):
         share = attrs.evolve(
             share, held_rate_micro=share.rate_micro, held_burst=share.burst
         )
-    rate_micro = min(share.rate_micro, target.rate_micro) if is_chosen else 0
-    burst = min(share.burst, target.burst) if is_chosen else 0
+    rate_micro = min(share.rate_micro, target.rate_micro) if is_selected else 0
+    burst = min(share.burst, target.burst) if is_selected else 0
     return _resize(share, rate_micro, burst, revision)
 
 
 def _grow(
     share: StandingShare, target: Amount, free: Amount, revision: int
 ) -> StandingShare:
-    room_rate = share.held_rate_micro + max(0, free.rate_micro)
-    room_burst = share.held_burst + max(0, free.burst)
-    rate_micro = max(share.rate_micro, min(target.rate_micro, room_rate))
-    burst = max(share.burst, min(target.burst, room_burst))
+    max_rate_micro = share.held_rate_micro + max(0, free.rate_micro)
+    max_burst = share.held_burst + max(0, free.burst)
+    rate_micro = max(share.rate_micro, min(target.rate_micro, max_rate_micro))
+    burst = max(share.burst, min(target.burst, max_burst))
     if burst == 0 or rate_micro == 0:
         return share
     return _resize(share, rate_micro, burst, revision)
--- a/src/radishtrack/rates/standing_share.py
+++ b/src/radishtrack/rates/standing_share.py
@@ -1,4 +1,7 @@
-"""A holder's standing share: its fixed part of the limit without an allocator."""
+"""A holder's standing share: its fixed part of the limit, without an allocator.
+
+While an allocator is available, the holder delegates the share to it; see `allocator`.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 
 from radishtrack.rates.bucket import Bucket, make_empty_bucket
 from radishtrack.rates.messages import (
-    LOAN_MS,
+    DELEGATION_MS,
     STANDING_VALIDITY_MS,
     LeaseRecord,
     RateLimit,
@@ -31,24 +34,24 @@
     share_limit: RateLimit | None = None
     """Limit from which the share was computed."""
     revision: int = 0
-    """Revision of the lease record that is applied."""
+    """Revision of the latest lease record that was applied."""
     valid_until_ms: float = -math.inf
-    dormant_until_ms: float = -math.inf
-    """End of the loan to the allocator."""
-    owned_from_ms: float = math.inf
-    """When the present share was received."""
+    delegated_until_ms: float = -math.inf
+    """End of the delegation to the allocator."""
+    received_ms: float = math.inf
+    """When the holder received a share after having had none."""
     bucket: Bucket | None = None
 
-    def try_take(self, now_ms: float) -> bool:
-        """Use one token of the share if it is active."""
-        if self.share is None or now_ms < self.dormant_until_ms:
+    def try_consume(self, now_ms: float) -> bool:
+        """Consume one token if the share is valid and not delegated."""
+        if self.share is None or now_ms < self.delegated_until_ms:
             return False
         if now_ms >= self.valid_until_ms:
-            self.give_up()
+            self.discard()
             return False
         if self.bucket is None:
-            start_ms = max(self.dormant_until_ms, self.owned_from_ms)
-            self.bucket = make_empty_bucket(*self._scaled(), start_ms)
+            start_ms = max(self.delegated_until_ms, self.received_ms)
+            self.bucket = make_empty_bucket(*self._scale_to_limit(), start_ms)
         self.bucket.refill(now_ms)
         if self.bucket.available() < 1:
             return False
@@ -58,18 +61,18 @@
     def apply(
         self, record: LeaseRecord, holder: str, read_sent_ms: float, now_ms: float
     ) -> None:
-        """Apply a lease record; one that is older than the applied one is ignored."""
+        """Apply a lease record unless a newer one was applied."""
         if record.revision < self.revision:
             return
         self.revision = record.revision
         share = next((s for s in record.standing_shares if s.holder == holder), None)
         if self.share is not None and now_ms >= self.valid_until_ms:
-            self.give_up()
+            self.discard()
         if share is None or share.burst == 0:
-            self.give_up()
+            self.discard()
             return
         if self.share is None:
-            self.owned_from_ms = now_ms
+            self.received_ms = now_ms
         self.valid_until_ms = max(
             self.valid_until_ms, read_sent_ms + STANDING_VALIDITY_MS
         )
@@ -77,32 +80,32 @@
         self.share_limit = record.limit
         self._reconfigure(now_ms)
 
-    def lend(self, now_ms: float) -> None:
-        """Leave the share unused for `LOAN_MS`; it is empty after that."""
-        self.dormant_until_ms = now_ms + LOAN_MS
+    def delegate(self, now_ms: float) -> None:
+        """Leave the share unused for `DELEGATION_MS`; it starts empty after that."""
+        self.delegated_until_ms = now_ms + DELEGATION_MS
         self.bucket = None
 
-    def end_loan(self, now_ms: float) -> None:
+    def end_delegation(self, now_ms: float) -> None:
         """Allow use of the share from now on."""
-        self.dormant_until_ms = min(self.dormant_until_ms, now_ms)
+        self.delegated_until_ms = min(self.delegated_until_ms, now_ms)
 
-    def give_up(self) -> None:
-        """Forget the share."""
+    def discard(self) -> None:
+        """Discard the share."""
         self.share = None
         self.bucket = None
         self.valid_until_ms = -math.inf
 
     def set_limit(self, limit: RateLimit, now_ms: float) -> None:
-        """Apply a new configuration: the share shrinks with the limit."""
+        """Apply a new configuration; a lower limit scales the share down."""
         self.limit = limit
         self._reconfigure(now_ms)
 
     def _reconfigure(self, now_ms: float) -> None:
         if self.bucket is not None and self.share is not None:
             self.bucket.refill(now_ms)
-            self.bucket.configure(*self._scaled())
+            self.bucket.configure(*self._scale_to_limit())
 
-    def _scaled(self) -> tuple[int, int]:
+    def _scale_to_limit(self) -> tuple[int, int]:
         assert self.share is not None and self.share_limit is not None
         old = self.share_limit
         rate_micro = (
--- a/tests/test_rate_allocator.py
+++ b/tests/test_rate_allocator.py
@@ -12,7 +12,7 @@
 from radishtrack.rates.fair_division import divide_fairly
 from radishtrack.rates.lease import LEASE_MS
 from radishtrack.rates.messages import (
-    LOAN_MS,
+    DELEGATION_MS,
     STANDING_VALIDITY_MS,
     LeaseRecord,
     NotAllocator,
@@ -144,8 +144,8 @@
         # A time on the clock of an earlier allocator.
         (Stamp(1, 1, 999_999.0), 20_100.0, 20_100.0, 50),
         # The holder counts from the receipt of the grant, not of its request.
-        (Stamp(2, 1, 20_000.0), 29_000.0, 20_000.0 + LOAN_MS * 0.997, 100),
-        (Stamp(2, 1, 20_000.0), 29_000.0, 20_000.0 + LOAN_MS * 0.998, 50),
+        (Stamp(2, 1, 20_000.0), 29_000.0, 20_000.0 + DELEGATION_MS * 0.997, 100),
+        (Stamp(2, 1, 20_000.0), 29_000.0, 20_000.0 + DELEGATION_MS * 0.998, 50),
     ],
 )
 def test_a_standing_share_is_lent_only_within_the_holders_promise(
@@ -160,7 +160,7 @@
     allocator.on_request(ask(1, 0, echo=echo), 30_900.0)
     assert allocator.bucket is not None and allocator.bucket.capacity == 100
     grant = allocator.on_request(ask(1, 0, "x"), 31_500.0)
-    assert isinstance(grant, TokenGrant) and not grant.loan
+    assert isinstance(grant, TokenGrant) and not grant.is_delegation
     allocator.on_request(ask(2, 0, echo=echo), 31_600.0)
     assert allocator.bucket.capacity == 50
 
@@ -201,7 +201,7 @@
     allocator.on_request(ask(1, 0, "x"), 20_100.0)
     shrunk = allocator.prepare_write(26_000.0)
     allocator.on_lease_written(shrunk.record.revision, 9, 26_000.0)
-    allocator.lease.until_ms = 1e9
+    allocator.lease.expires_ms = 1e9
     end_ms = 26_000.0 + STANDING_VALIDITY_MS * factor
     for name in ("h", "x"):
         allocator.on_request(ask(2, 0, name), end_ms - 1.0)
@@ -293,31 +293,31 @@
         share.make_request(0.0, 0)
     share.on_grant(TokenGrant("org", "h", 3, Stamp(1, 3, 0.0), 0, 500.0), 10.0)
     share.on_grant(
-        TokenGrant("org", "h", 2, Stamp(1, 2, 0.0), 0, 500.0, loan=False), 11.0
+        TokenGrant("org", "h", 2, Stamp(1, 2, 0.0), 0, 500.0, is_delegation=False), 11.0
     )
     assert not isinstance(share.try_admit(5_000.0), Admitted)
-    assert isinstance(share.try_admit(10.0 + LOAN_MS + 100.0), Admitted)
+    assert isinstance(share.try_admit(10.0 + DELEGATION_MS + 100.0), Admitted)
 
 
 def test_a_standing_share_starts_empty_and_lapses() -> None:
     share = make_share_state("org", "h", LIMIT, 0.0)
     share.on_record(FOREIGN, 1_000.0, 2_000.0)
-    assert not share.standing.try_take(2_001.0)
-    assert sum(share.standing.try_take(3_000.0) for _ in range(99)) == 49
-    share.standing.lend(3_000.0)
-    assert not share.standing.try_take(3_000.0 + LOAN_MS + 1.0)
-    assert share.standing.try_take(1_000.0 + STANDING_VALIDITY_MS - 1.0)
-    assert not share.standing.try_take(1_000.0 + STANDING_VALIDITY_MS)
+    assert not share.standing.try_consume(2_001.0)
+    assert sum(share.standing.try_consume(3_000.0) for _ in range(99)) == 49
+    share.standing.delegate(3_000.0)
+    assert not share.standing.try_consume(3_000.0 + DELEGATION_MS + 1.0)
+    assert share.standing.try_consume(1_000.0 + STANDING_VALIDITY_MS - 1.0)
+    assert not share.standing.try_consume(1_000.0 + STANDING_VALIDITY_MS)
     older = attrs.evolve(FOREIGN, revision=0)
     share.on_record(older, STANDING_VALIDITY_MS, STANDING_VALIDITY_MS + 2_000.0)
-    assert not share.standing.try_take(STANDING_VALIDITY_MS + 4_000.0)
+    assert not share.standing.try_consume(STANDING_VALIDITY_MS + 4_000.0)
 
 
 def test_a_standing_share_shrinks_with_a_lowered_limit() -> None:
     share = make_share_state("org", "h", LIMIT, 0.0)
     share.on_record(FOREIGN, 0.0, 0.0)
     share.set_limit(make_rate_limit(10, 10), 0.0)
-    assert sum(share.standing.try_take(60_000.0) for _ in range(99)) == 5
+    assert sum(share.standing.try_consume(60_000.0) for _ in range(99)) == 5
 
 
 def test_refusals_are_cached_until_the_retry_time() -> None:
@@ -359,7 +359,7 @@
     received = {"a": 0, "b": 0, "c": 0}
     demand = {"a": 200.0, "b": 200.0, "c": 10.0}
     every = {"a": 50, "b": 10, "c": 100}
-    allocator.lease.until_ms = 1e9
+    allocator.lease.expires_ms = 1e9
     for now_ms in range(10, 20_000, 10):
         for number, name in enumerate(received):
             if now_ms % every[name] == 0:
