--- a/src/radishtrack/admission/admit.py
+++ b/src/radishtrack/admission/admit.py
@@ -1,4 +1,4 @@
-"""The admission decision of a holder: the organisation's rate and the queue."""
+"""The admission decision of a holder, from the organisation's rate and the queue."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 MAX_TOKEN_WAITERS: Final = 64
 """Requests of one organisation that may wait for tokens at one holder."""
 MAX_REFUSAL_WAIT_MS: Final = 100.0
-"""A request waits for a refused organisation's retry time up to this long."""
+"""A request of an organisation over its rate waits up to this long for a retry."""
 
 
 @attrs.define(frozen=True)
 class Proceed:
-    """The request may take a connection from the gate.
+    """The request may acquire a connection from the gate.
 
     Parameters
     ----------
@@ -48,12 +48,12 @@
 
 @attrs.define(frozen=True)
 class Reject:
-    """The request ends without having run.
+    """The request fails without having run.
 
     Parameters
     ----------
     failure : Failure
-        Answer to the client.
+        Failure that the client gets.
     """
 
     failure: Failure
@@ -73,7 +73,7 @@
 ) -> AdmissionDecision:
     """Decide on one request of the organisation of `share`.
 
-    The queue is looked at first, because a token of a request that the queue then
+    The queue is checked first, because a token of a request that the queue then
     refuses would be lost.
 
     Parameters
@@ -87,12 +87,12 @@
     waiting : int
         Other requests of the organisation that wait for tokens at this holder.
     is_retry : bool
-        Whether this request got `AwaitTokens` before.
+        Whether the previous decision on this request was `AwaitTokens`.
 
     Returns
     -------
     Proceed, AwaitTokens or Reject
-        What to do with the request.
+        Next step of the request.
     """
     refused = queue.check(share.organisation, now_ms, deadline_ms)
     if refused is not None:
@@ -102,15 +102,15 @@
     if isinstance(admission, Admitted):
         return Proceed(admission.request)
     if isinstance(admission, NeedTokens):
-        # The time at which the token request is given up, not when its grant is due:
-        # it is no reason to refuse a request with a short deadline.
+        # `retry_at_ms` is the timeout of the token request, not when its grant is
+        # expected, so it is no reason to refuse a request with a short deadline.
         decision = AwaitTokens(
             admission.request, min(admission.retry_at_ms, deadline_ms)
         )
         if admission.request is not None:
             return decision
         if waiting >= MAX_TOKEN_WAITERS or now_ms >= deadline_ms:
-            return _reject_rate(0.0)
+            return _reject_over_rate(0.0)
         return decision
     retry_after_ms = admission.retry_after_ms
     retry_at_ms = now_ms + retry_after_ms
@@ -119,11 +119,11 @@
         or waiting >= MAX_TOKEN_WAITERS
         or retry_at_ms >= deadline_ms
     ):
-        return _reject_rate(retry_after_ms)
+        return _reject_over_rate(retry_after_ms)
     return AwaitTokens(None, retry_at_ms)
 
 
-def _reject_rate(retry_after_ms: float) -> Reject:
+def _reject_over_rate(retry_after_ms: float) -> Reject:
     return _reject(ErrorCode.OVER_RATE, "organisation is over its rate", retry_after_ms)
 
 
--- a/src/radishtrack/admission/fair_queue.py
+++ b/src/radishtrack/admission/fair_queue.py
@@ -12,7 +12,7 @@
 """Most requests that an organisation may start in one round."""
 DEFAULT_QUEUE_LENGTH: Final = 64
 MAX_CHARGE: Final = 8
-"""Most requests that one long use of a connection is charged as."""
+"""One use of a connection is charged as at most this many further requests."""
 SERVICE_TIME_SMOOTHING: Final = 0.05
 INITIAL_SERVICE_MS: Final = 2.0
 MIN_SERVICE_MS: Final = 0.01
@@ -31,7 +31,7 @@
     organisation : str
         Organisation of the request.
     deadline_ms : float
-        Time after which the request is of no use.
+        Latest start of the request.
     """
 
     ticket: int
@@ -41,24 +41,24 @@
 
 @attrs.define(frozen=True)
 class Started:
-    """A connection is free: the request runs now."""
+    """The request got a free connection and starts now."""
 
 
 @attrs.define(frozen=True)
 class Queued:
-    """The request waits; `next_waiter` will return it."""
+    """The request waits until `next_waiter` returns it."""
 
     waiter: Waiter
 
 
 @attrs.define(frozen=True)
 class QueueRefused:
-    """The request cannot be served in time.
+    """The request cannot start in time.
 
     Parameters
     ----------
     reason : str
-        Why, for the client.
+        Reason that the client gets.
     estimated_wait_ms : float
         Estimated wait for a connection.
     """
@@ -72,7 +72,7 @@
 
 @attrs.define
 class OrganisationQueue:
-    """Waiting and running requests of one organisation."""
+    """Deficit round robin state of one organisation."""
 
     quantum: int
     waiting: OrderedDict[int, Waiter] = attrs.field(factory=OrderedDict)
@@ -82,14 +82,14 @@
 
 @attrs.define
 class FairQueue:
-    """Scheduler of `connections` connections.
+    """Weighted deficit round robin scheduler of a database's connections.
 
     Parameters
     ----------
     connections : int
         Connections of this holder to the database.
     max_queue_length : int
-        Waiting requests per organisation.
+        Most waiting requests of one organisation.
     """
 
     connections: int
@@ -98,7 +98,7 @@
     queues: dict[str, OrganisationQueue] = attrs.field(factory=dict)
     """Organisations with waiting or running requests."""
     ring: OrderedDict[str, OrganisationQueue] = attrs.field(factory=OrderedDict)
-    """Organisations that wait and may start a request, in service order."""
+    """Organisations with a waiting request that may start, in service order."""
     running: int = 0
     waiting: int = 0
     waiting_quanta: int = 0
@@ -107,7 +107,7 @@
     next_ticket: int = 1
 
     def set_weights(self, weights: dict[str, float]) -> None:
-        """Apply the configured rates as weights, relative to the smallest."""
+        """Set each quantum from the configured rate, relative to the smallest rate."""
         smallest = min((weight for weight in weights.values() if weight > 0), default=1)
         self.quanta = {
             organisation: max(1, min(MAX_QUANTUM, int(weight / smallest)))
@@ -128,7 +128,7 @@
     def check(
         self, organisation: str, now_ms: float, deadline_ms: float
     ) -> QueueRefused | None:
-        """Return why a request would be refused, without changing the queue."""
+        """Return the refusal that a request would get, without changing the queue."""
         if deadline_ms <= now_ms:
             return QueueRefused("deadline has passed", 0.0)
         queue = self.queues.get(organisation)
@@ -166,10 +166,10 @@
         return Queued(waiter)
 
     def next_waiter(self, now_ms: float) -> Waiter | None:
-        """Start the next waiting request if a connection is free.
+        """Start the next waiting request if a connection is free, and return it.
 
-        Requests whose deadline has passed are dropped. Each call is amortised O(1): it
-        serves a request, drops one or pays off a part of an earlier charge.
+        Requests whose deadline has passed are dropped. The cost is amortised O(1): each
+        step starts a request, drops one or pays off a part of an earlier charge.
         """
         while self.running < self.connections and self.ring:
             organisation, queue = next(iter(self.ring.items()))
@@ -191,16 +191,16 @@
         return None
 
     def cancel(self, waiter: Waiter) -> bool:
-        """Remove a waiting request; return False if it does not wait any more."""
+        """Remove a waiting request; return False if it no longer waits."""
         queue = self.queues.get(waiter.organisation)
         if queue is None or queue.waiting.pop(waiter.ticket, None) is None:
             return False
-        self._note_removed(queue)
+        self._count_removed(queue)
         self._update_ring(waiter.organisation, queue)
         return True
 
     def finish(self, organisation: str, service_ms: float | None) -> None:
-        """Note that a started request has released its connection.
+        """Release the connection of a started request.
 
         Parameters
         ----------
@@ -214,7 +214,7 @@
         self.running -= 1
         if service_ms is not None:
             if queue.waiting:
-                # The fair measure is connection time, so long uses cost more.
+                # Shares are fair in connection time, so long uses cost more.
                 extra = int(service_ms / max(self.service_ms, MIN_SERVICE_MS)) - 1
                 queue.deficit -= max(0, min(MAX_CHARGE, extra))
                 queue.deficit = max(-MAX_CHARGE, queue.deficit)
@@ -222,7 +222,7 @@
         self._update_ring(organisation, queue)
 
     def limit_per_organisation(self) -> int:
-        """Return how many connections one organisation may hold."""
+        """Return the most connections that one organisation may hold."""
         if self.connections >= RESERVE_FROM_CONNECTIONS:
             return self.connections - 1
         return self.connections
@@ -240,10 +240,10 @@
 
     def _pop(self, queue: OrganisationQueue) -> Waiter:
         _, waiter = queue.waiting.popitem(last=False)
-        self._note_removed(queue)
+        self._count_removed(queue)
         return waiter
 
-    def _note_removed(self, queue: OrganisationQueue) -> None:
+    def _count_removed(self, queue: OrganisationQueue) -> None:
         self.waiting -= 1
         if not queue.waiting:
             self.waiting_quanta -= queue.quantum
--- a/src/radishtrack/admission/gate.py
+++ b/src/radishtrack/admission/gate.py
@@ -26,15 +26,15 @@
     Parameters
     ----------
     clock : Clock
-        Time of the deadlines.
+        Clock of the deadlines.
     queue : FairQueue
-        Order of the waiting requests.
+        Decides the order in which waiting requests start.
     """
 
     clock: Clock
     queue: FairQueue
     futures: dict[int, asyncio.Future[None]] = attrs.field(factory=dict)
-    """Requests that wait, by ticket."""
+    """Futures of the waiting requests, by ticket."""
 
     @asynccontextmanager
     async def connection(
@@ -52,7 +52,7 @@
         Raises
         ------
         RequestError
-            With outcome NOT_RUN if the request cannot be served in time.
+            With outcome NOT_RUN if the request cannot start in time.
         """
         decision = self.queue.offer(organisation, self.clock.now_ms(), deadline_ms)
         if isinstance(decision, QueueRefused):
@@ -82,15 +82,15 @@
             async with asyncio.timeout(delay_ms / 1000.0):
                 await future
         except BaseException as error:
-            self._abandon(waiter, future)
+            self._cancel_wait(waiter, future)
             if isinstance(error, TimeoutError):
                 raise make_not_run("admit", "no connection by the deadline") from None
             raise
 
-    def _abandon(self, waiter: Waiter, future: asyncio.Future[None]) -> None:
+    def _cancel_wait(self, waiter: Waiter, future: asyncio.Future[None]) -> None:
         self.futures.pop(waiter.ticket, None)
         if future.done() and not future.cancelled():
-            # The permit was given just before the cancellation.
+            # The permit was granted just before the cancellation.
             self._release(waiter.organisation, None)
             return
         self.queue.cancel(waiter)
--- a/src/radishtrack/admission/retry_budget.py
+++ b/src/radishtrack/admission/retry_budget.py
@@ -1,4 +1,4 @@
-"""Retry budget of one database: 10% of its requests + 10 a second, sliding."""
+"""Retry budget of one database: 10% of its requests + 10, in a sliding second."""
 
 from __future__ import annotations
 
@@ -7,16 +7,15 @@
 
 import attrs
 
-RETRY_DIVISOR: Final = 10
-"""One retry for each 10 requests."""
+REQUESTS_PER_RETRY: Final = 10
 RETRIES_PER_SECOND: Final = 10
 WINDOW_MS: Final = 1000.0
-SLOT_MS: Final = 50.0
+INTERVAL_MS: Final = 50.0
 
 
 @attrs.define
-class Slot:
-    """Requests and retries of one time slot."""
+class IntervalCounts:
+    """Requests and retries of one interval of `INTERVAL_MS`."""
 
     index: int
     requests: int = 0
@@ -25,39 +24,41 @@
 
 @attrs.define
 class RetryBudget:
-    """Counts of the last second in slots.
+    """Counts of the last second, by interval.
 
-    Retries of the slots that overlap the window are counted in full, requests only
-    in the slots that lie inside it, so the limit holds for every window of one second.
+    Intervals that overlap the window count with all their retries, but requests count
+    only in intervals that lie inside it, so the limit holds for every window of 1 s.
     """
 
-    slots: deque[Slot] = attrs.field(factory=deque)
+    intervals: deque[IntervalCounts] = attrs.field(factory=deque)
 
     def count_request(self, now_ms: float) -> None:
         """Count a first attempt."""
-        self._current(now_ms).requests += 1
+        self._current_interval(now_ms).requests += 1
 
     def try_retry(self, now_ms: float) -> bool:
-        """Count a retry and return True if the budget allows it."""
-        current = self._current(now_ms)
-        oldest_whole = (now_ms - WINDOW_MS) / SLOT_MS
+        """Count a retry if the budget allows it; return whether it does."""
+        current = self._current_interval(now_ms)
+        first_whole_index = (now_ms - WINDOW_MS) / INTERVAL_MS
         requests = sum(
-            slot.requests for slot in self.slots if slot.index >= oldest_whole
+            interval.requests
+            for interval in self.intervals
+            if interval.index >= first_whole_index
         )
-        retries = sum(slot.retries for slot in self.slots)
-        if retries >= requests // RETRY_DIVISOR + RETRIES_PER_SECOND:
+        retries = sum(interval.retries for interval in self.intervals)
+        if retries >= requests // REQUESTS_PER_RETRY + RETRIES_PER_SECOND:
             return False
         current.retries += 1
         return True
 
-    def _current(self, now_ms: float) -> Slot:
-        index = int(now_ms // SLOT_MS)
-        oldest = int((now_ms - WINDOW_MS) // SLOT_MS)
-        while self.slots and self.slots[0].index < oldest:
-            self.slots.popleft()
-        if not self.slots or self.slots[-1].index < index:
-            self.slots.append(Slot(index))
-        return self.slots[-1]
+    def _current_interval(self, now_ms: float) -> IntervalCounts:
+        index = int(now_ms // INTERVAL_MS)
+        oldest_index = int((now_ms - WINDOW_MS) // INTERVAL_MS)
+        while self.intervals and self.intervals[0].index < oldest_index:
+            self.intervals.popleft()
+        if not self.intervals or self.intervals[-1].index < index:
+            self.intervals.append(IntervalCounts(index))
+        return self.intervals[-1]
 
 
 def make_retry_budget() -> RetryBudget:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Guards the admission decision: what is refused, why, and that no token is lost."""
+"""Checks which requests are refused and why, and that a refusal consumes no token."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
         (1, 0.0, 0.0, 0, False, ErrorCode.REFUSED),
     ],
 )
-def test_rate_and_queue_give_one_decision(
+def test_admission_depends_on_rate_and_queue(
     tokens: int,
     retry_after_ms: float,
     deadline_ms: float,
@@ -67,7 +67,7 @@
 
 
 def test_waiting_requests_count_once_as_demand() -> None:
-    """Otherwise retries would raise the batch that is asked for."""
+    """If retries counted as demand, they would raise the number of requested tokens."""
     share = make_share(0, 10.0)
     decide_admission(share, make_queue(), 1.0, 100.0)
     before = share.demand.weight
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -1,6 +1,6 @@
-"""Guards each organisation's share of scarce connections.
+"""Checks each organisation's share of scarce connections.
 
-Also guards early refusal, and that no cancellation loses or doubles a connection.
+Also checks early refusal, and that no cancellation loses or duplicates a connection.
 """
 
 from __future__ import annotations
@@ -90,7 +90,7 @@
 
 
 def test_no_organisation_holds_every_connection() -> None:
-    """Pinned transactions of one organisation must not lock out all others."""
+    """Long transactions of one organisation must not block all others."""
     queue = make_fair_queue(7)
     kinds = [type(queue.offer("large", 0.0, 1e6)) for _ in range(10)]
     assert kinds.count(Started) == 6
@@ -107,7 +107,7 @@
     assert refusal.estimated_wait_ms == pytest.approx(200.0)
 
 
-def test_queue_places_are_limited_for_each_organisation() -> None:
+def test_queue_length_is_limited_for_each_organisation() -> None:
     queue = make_fair_queue(1, max_queue_length=5)
     decisions = [queue.offer("large", 0.0, 1e6) for _ in range(100)]
     assert sum(isinstance(decision, Queued) for decision in decisions) == 5
@@ -164,7 +164,7 @@
 
 
 async def test_gate_survives_cancellation_at_any_moment() -> None:
-    """A waiter that is cancelled just after it was given a permit must return it."""
+    """A waiter that is cancelled just after it was granted a permit must release it."""
     gate = make_gate(make_system_clock(), 3)
     active = 0
     peak = 0
@@ -191,7 +191,7 @@
     assert (gate.queue.running, gate.queue.waiting, gate.futures) == (0, 0, {})
 
 
-async def test_gate_returns_a_permit_given_in_the_moment_of_cancellation() -> None:
+async def test_gate_releases_a_permit_granted_just_before_cancellation() -> None:
     gate = make_gate(make_manual_clock(ManualTime()), 1)
     held = gate.connection("a", 1e6)
     await held.__aenter__()
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Guards the retry budget: retries must not multiply the load of a failing database."""
+"""Checks the retry budget: retries must not multiply the load of a failing database."""
 
 from __future__ import annotations
 
