--- a/src/radishtrack/usage/bill.py
+++ b/src/radishtrack/usage/bill.py
@@ -1,4 +1,4 @@
-"""Splits a bill between the owners by usage, exactly and recomputably."""
+"""Splits a bill between the owners by usage, with exact and reproducible results."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @attrs.define(frozen=True)
 class OwnerShare:
-    """What one owner pays.
+    """One owner's share of a bill.
 
     Parameters
     ----------
@@ -41,9 +41,9 @@
     usage : UsageTotals
         Usage of the owner.
     fraction : Fraction
-        Exact part of the weighted usage.
+        Exact fraction of the weighted usage.
     amount : int
-        Part of the bill in its smallest unit, for example cents.
+        Share of the bill in its smallest unit, for example cents.
     """
 
     owner: str
@@ -54,7 +54,7 @@
 
 @attrs.define(frozen=True)
 class Bill:
-    """A bill and all that is needed to compute it again."""
+    """A bill with all data needed to recompute it."""
 
     amount: int
     weights: UnitWeights
@@ -62,7 +62,7 @@
     shares: tuple[OwnerShare, ...]
 
 
-def weigh(usage: UsageTotals, weights: UnitWeights) -> Fraction:
+def compute_weighted_usage(usage: UsageTotals, weights: UnitWeights) -> Fraction:
     """Return the weighted usage, exactly."""
     return (
         Fraction(usage.statements * weights.statement)
@@ -95,22 +95,22 @@
     Returns
     -------
     Bill
-        Whose shares add up to `amount`. Without any usage, equal shares.
+        Bill whose shares add up to `amount`; they are equal if there is no usage.
 
     Raises
     ------
     ValueError
-        If there is usage of an owner that is not in `owners`, or no owner at all.
+        If `owners` is empty or lacks the owner of some usage.
     """
-    listed = tuple(sorted(entries, key=_entry_key))
+    sorted_entries = tuple(sorted(entries, key=_entry_key))
     usage: defaultdict[str, UsageTotals] = defaultdict(UsageTotals)
-    for entry in listed:
+    for entry in sorted_entries:
         usage[entry.key.owner] += entry.totals
     names = sorted(set(owners))
     unknown = sorted(set(usage) - set(names))
     if unknown or not names:
         raise ValueError(f"usage of unknown owners: {unknown}; owners: {names}")
-    weighted = {name: weigh(usage[name], weights) for name in names}
+    weighted = {name: compute_weighted_usage(usage[name], weights) for name in names}
     total = sum(weighted.values(), Fraction(0))
     fractions = {
         name: weighted[name] / total if total else Fraction(1, len(names))
@@ -120,16 +120,16 @@
     shares = tuple(
         OwnerShare(name, usage[name], fractions[name], amounts[name]) for name in names
     )
-    return Bill(amount, weights, listed, shares)
+    return Bill(amount, weights, sorted_entries, shares)
 
 
 def apportion(amount: int, fractions: dict[str, Fraction]) -> dict[str, int]:
-    """Divide a whole amount by largest remainder; equal remainders go by name."""
+    """Divide an integer amount by the largest remainder method; ties go by name."""
     exact = {name: amount * fraction for name, fraction in fractions.items()}
     amounts = {name: int(part // 1) for name, part in exact.items()}
-    left = amount - sum(amounts.values())
+    remaining = amount - sum(amounts.values())
     by_remainder = sorted(exact, key=lambda name: (amounts[name] - exact[name], name))
-    for name in by_remainder[:left]:
+    for name in by_remainder[:remaining]:
         amounts[name] += 1
     return amounts
 
--- a/src/radishtrack/usage/compaction.py
+++ b/src/radishtrack/usage/compaction.py
@@ -1,9 +1,9 @@
-"""Compacts usage objects of dead incarnations without a change of the total.
+"""Compacts usage objects of dead incarnations without changing the total.
 
-Each step is one conditional update: seal the object, fold its totals into the summary
-object together with its name, delete the object, and much later forget the name. The
-state in the platform alone decides the next step, so a step that is repeated, or whose
-answer was lost, counts once: an object whose name is in the summary is not counted.
+Each step is one conditional update: seal the object, fold its totals and name into the
+summary object, delete the object, and much later remove the name. Only the state in
+the platform decides the next step, so a step that is repeated, or whose response was
+lost, counts once: an object whose name is in the summary is not counted.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
 )
 
 SUMMARY_NAME: Final = "summary"
-SEAL_GENERATIONS: Final = 2
-"""Compactions between seal and deletion; a live process notices the seal before."""
-FORGET_GENERATIONS: Final = 8
-"""Compactions after which no delayed write can create a deleted object again."""
+DELETION_DELAY_GENERATIONS: Final = 2
+"""Compactions from folding to deletion; a live process finds the seal before that."""
+NAME_RETENTION_GENERATIONS: Final = 8
+"""Compactions after which no delayed write can recreate a deleted object."""
 
 
 @attrs.define(frozen=True)
@@ -82,36 +82,37 @@
     Returns
     -------
     UsageSummary
-        With the sealed objects that were not folded yet.
+        Summary that includes the sealed objects that were not folded yet.
     """
     present = list(reports)
     names = {report.object_name for report in present}
-    known = {folded.name for folded in summary.folded}
+    folded_names = {folded.name for folded in summary.folded}
     generation = summary.generation + 1
-    fresh = [
+    newly_sealed = [
         report
         for report in present
-        if report.is_sealed and report.object_name not in known
+        if report.is_sealed and report.object_name not in folded_names
     ]
     kept = [
         folded
         for folded in summary.folded
-        if folded.name in names or generation - folded.generation < FORGET_GENERATIONS
+        if folded.name in names
+        or generation - folded.generation < NAME_RETENTION_GENERATIONS
     ]
-    added = [FoldedObject(report.object_name, generation) for report in fresh]
-    totals = sum_entries([summary.totals, *(report.totals for report in fresh)])
+    added = [FoldedObject(report.object_name, generation) for report in newly_sealed]
+    totals = sum_entries([summary.totals, *(report.totals for report in newly_sealed)])
     return UsageSummary(generation, totals, tuple(kept + added))
 
 
 def names_to_delete(summary: UsageSummary, reports: Iterable[UsageReport]) -> list[str]:
-    """Return the objects that the summary, as stored, makes superfluous."""
+    """Return the names of the objects that the stored summary makes redundant."""
     ages = {
         folded.name: summary.generation - folded.generation for folded in summary.folded
     }
     return sorted(
         report.object_name
         for report in reports
-        if ages.get(report.object_name, -1) >= SEAL_GENERATIONS
+        if ages.get(report.object_name, -1) >= DELETION_DELAY_GENERATIONS
     )
 
 
--- a/src/radishtrack/usage/counter.py
+++ b/src/radishtrack/usage/counter.py
@@ -7,7 +7,7 @@
 
 @attrs.define(frozen=True, order=True)
 class UsageKey:
-    """Whose usage it is: the organisation and the owner of the database."""
+    """The organisation whose usage it is, and the owner of the database."""
 
     organisation: str
     owner: str
--- a/src/radishtrack/usage/report.py
+++ b/src/radishtrack/usage/report.py
@@ -5,8 +5,8 @@
 most the usage since its last report.
 
 An object of a dead incarnation is sealed before it is compacted. A process that was
-wrongly taken for dead finds its object sealed, takes the sealed totals as its baseline
-and goes on with a new incarnation.
+wrongly presumed dead finds its object sealed, adds the sealed totals to its baseline
+and continues as a new incarnation.
 """
 
 from __future__ import annotations
@@ -83,7 +83,7 @@
     last_ms: float = -math.inf
 
     def is_due(self, now_ms: float) -> bool:
-        """Return whether the next report is to be written."""
+        """Return whether the next report is due."""
         return now_ms - self.last_ms >= REPORT_INTERVAL_MS
 
     def make_report(self, now_ms: float) -> UsageReport:
@@ -105,31 +105,31 @@
         )
 
     def on_sealed(self, stored: UsageReport) -> None:
-        """Go on with a new incarnation after a write found the object sealed.
+        """Continue as a new incarnation after a write found the object sealed.
 
-        The shell calls it with the object that it read after the conflict. The object
-        of a live process can't be compacted before that: see `compaction`.
+        The caller passes the object that it read after the conflict. The object of a
+        live process is not deleted before that; see `DELETION_DELAY_GENERATIONS`.
         """
         for entry in stored.totals:
-            known = self.baseline.get(entry.key, UsageTotals())
-            self.baseline[entry.key] = known + entry.totals
+            current = self.baseline.get(entry.key, UsageTotals())
+            self.baseline[entry.key] = current + entry.totals
         self.continuation += 1
         self.sequence = 0
         self.last_ms = -math.inf
 
 
 def make_reporter(node: str, incarnation: str, counter: UsageCounter) -> Reporter:
-    """Return the reporter of a process that has reported nothing."""
+    """Return the reporter of a process without earlier reports."""
     return Reporter(node, incarnation, counter)
 
 
-def choose_later(known: UsageReport | None, received: UsageReport) -> UsageReport:
-    """Return the report that counts, of two of the same incarnation."""
-    if known is None or received.sequence > known.sequence:
+def choose_latest(current: UsageReport | None, received: UsageReport) -> UsageReport:
+    """Return the later report of an incarnation; of equal ones, the sealed one."""
+    if current is None or received.sequence > current.sequence:
         return received
-    if received.sequence == known.sequence and received.is_sealed:
+    if received.sequence == current.sequence and received.is_sealed:
         return received
-    return known
+    return current
 
 
 def encode_entries(entries: tuple[UsageEntry, ...]) -> list[dict[str, Any]]:
@@ -145,7 +145,7 @@
 
 
 def decode_entries(values: list[dict[str, Any]]) -> tuple[UsageEntry, ...]:
-    """Return the entries that `encode_entries` made."""
+    """Return the entries encoded by `encode_entries`."""
     return tuple(
         UsageEntry(
             UsageKey(value["organisation"], value["owner"]),
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -1,7 +1,4 @@
-"""Guards the bill.
-
-Usage is counted once, whatever is repeated or lost, and the owners' parts are exact.
-"""
+"""Checks that usage is counted once despite repeats and losses, and billed exactly."""
 
 from __future__ import annotations
 
@@ -34,7 +31,7 @@
     Reporter,
     UsageEntry,
     UsageReport,
-    choose_later,
+    choose_latest,
     decode_report,
     encode_report,
     make_reporter,
@@ -45,7 +42,7 @@
 
 
 class Store:
-    """Objects with versions and conditional updates; answers can be lost."""
+    """Versioned objects with conditional updates; responses can be lost."""
 
     def __init__(self) -> None:
         self.objects: dict[str, tuple[int, object]] = {}
@@ -91,17 +88,17 @@
     assert reporter.is_due(30_000.0)
     counter.add(KEY, statements=1, connection_ms=5.5)
     second = reporter.make_report(30_000.0)
-    known = None
+    latest = None
     for report in [first, second, first]:
-        known = choose_later(known, report)
-    assert known == second
+        latest = choose_latest(latest, report)
+    assert latest == second
     assert second.totals == (UsageEntry(KEY, UsageTotals(2, 2, 3, 4, 11)),)
     assert decode_report(json.loads(json.dumps(encode_report(second)))) == second
 
 
 @pytest.mark.parametrize("seed", range(40))
 def test_compaction_keeps_the_total_with_lost_and_repeated_writes(seed: int) -> None:
-    """Seals, folds and deletes hit live and dead nodes alike, also with old reads."""
+    """Live and dead nodes are sealed, folded and deleted, also after stale reads."""
     store = Store()
     reporters = [make_reporter(f"n{i}", "0", make_usage_counter()) for i in range(3)]
     reported: list[int] = [0, 0, 0]
@@ -153,18 +150,18 @@
     assert decode_summary(json.loads(json.dumps(encode_summary(summary)))) == summary
 
 
-def test_the_parts_of_a_bill_add_up_and_both_owners_compute_the_same() -> None:
+def test_the_shares_of_a_bill_add_up_and_do_not_depend_on_order() -> None:
     entries = [
         UsageEntry(KEY, UsageTotals(200, 0, 0, 0, 0)),
         UsageEntry(OTHER, UsageTotals(100, 0, 0, 0, 0)),
     ]
     bill = make_bill(1000, ["fjellsko", "tallinna"], entries)
-    again = make_bill(1000, ["tallinna", "fjellsko"], list(reversed(entries)))
+    reordered = make_bill(1000, ["tallinna", "fjellsko"], list(reversed(entries)))
     assert [(s.owner, s.fraction, s.amount) for s in bill.shares] == [
         ("fjellsko", Fraction(2, 3), 667),
         ("tallinna", Fraction(1, 3), 333),
     ]
-    assert bill_to_json(bill) == bill_to_json(again)
+    assert bill_to_json(bill) == bill_to_json(reordered)
     assert json.loads(bill_to_json(bill))["shares"][0]["fraction"] == "2/3"
     lines = bill_to_text(bill).splitlines()
     assert lines[1].split() == ["fjellsko", "200", "0", "0", "0", "0", "66.6667", "667"]
@@ -190,7 +187,7 @@
 
 
 def test_usage_of_an_unlisted_owner_is_an_error() -> None:
-    """Such usage would otherwise be paid by nobody."""
+    """Otherwise nobody would pay for this usage."""
     entries = [UsageEntry(OTHER, UsageTotals(1))]
     with pytest.raises(ValueError, match="tallinna"):
         make_bill(100, ["fjellsko"], entries)
