--- a/src/radishtrack/rates/allocator.py
+++ b/src/radishtrack/rates/allocator.py
@@ -369,13 +369,13 @@
         active = {n for n, view in self.holders.items() if view.needs_standing_share()}
         # A holder that has sent this allocator no request keeps its share while it
         # may be in use.
-        unheard = {
+        without_request = {
             share.holder
             for share in previous
             if share.holder not in self.holders and not self._is_applied(share, now_ms)
         }
         had_share = {share.holder for share in previous}
-        ranked = sorted(active | unheard, key=lambda n: (n not in had_share, n))
+        ranked = sorted(active | without_request, key=lambda n: (n not in had_share, n))
         return plan_shares(
             previous,
             ranked,
--- a/src/radishtrack/rates/standing_plan.py
+++ b/src/radishtrack/rates/standing_plan.py
@@ -40,7 +40,7 @@
     ----------
     records : iterable of LeaseRecord
         The record in force and those of pending writes.
-    lending : set of str
+    delegating : set of str
         Holders that leave their share unused.
     """
     largest: dict[str, Amount] = {}
@@ -73,7 +73,7 @@
 
     Parameters
     ----------
-    known : iterable of StandingShare
+    previous : iterable of StandingShare
         Shares of the last record.
     holders : iterable of str
         Holders that need a share, by descending priority.
@@ -87,7 +87,7 @@
     Returns
     -------
     tuple of StandingShare
-        Their held parts add up to at most half of the limit, if those of `known` do.
+        Their held parts add up to at most half of the limit, if those of `previous` do.
     """
     half_rate = limit.rate_micro // STANDING_DIVISOR
     half_burst = limit.burst // STANDING_DIVISOR
