--- a/src/radishtrack/platform/member_link.py
+++ b/src/radishtrack/platform/member_link.py
@@ -48,14 +48,18 @@
         return self.connection.is_closed or self.connection.has_input
 
     async def run(
-        self, statement: MemberStatement, *, floor: Position | None, timeout_ms: float
+        self,
+        statement: MemberStatement,
+        *,
+        min_position: Position | None,
+        timeout_ms: float,
     ) -> MemberAnswer:
         """Run a statement; see `MemberLink.run`."""
         if self.is_closed:
             self.connection.close()
             raise LinkLost("connection was closed", is_sent=False)
         try:
-            self.connection.write(encode_line(format_query(statement, floor)))
+            self.connection.write(encode_line(format_query(statement, min_position)))
             async with asyncio.timeout(timeout_ms / 1000):
                 lines = await self._read_answer()
             return parse_answer(lines, has_report=isinstance(statement, REPORTING))
--- a/src/radishtrack/platform/wire.py
+++ b/src/radishtrack/platform/wire.py
@@ -143,7 +143,7 @@
     return f"ERROR {CODES[refusal]} {detail}"
 
 
-def format_query(statement: MemberStatement, floor: Position | None) -> str:
+def format_query(statement: MemberStatement, min_position: Position | None) -> str:
     """Return the message for a member.
 
     Parameters
@@ -153,7 +153,11 @@
     floor : Position or None
         Position that the member's log has to contain.
     """
-    since = f"SINCE {floor.term}.{floor.sequence} " if floor is not None else ""
+    since = (
+        f"SINCE {min_position.term}.{min_position.sequence} "
+        if min_position is not None
+        else ""
+    )
     match statement:
         case Run(statement_id, text, _):
             return f"QUERY {statement_id} {since}{text}"
--- a/src/radishtrack/pooler/control.py
+++ b/src/radishtrack/pooler/control.py
@@ -238,7 +238,7 @@
         await asyncio.shield(self.pending)
         self.unknown[name] = self.catalog.version
 
-    def knows_announcements(self, max_age_ms: float) -> bool:
+    def has_all_announcements(self, max_age_ms: float) -> bool:
         """Tell whether no announced promotion can be unknown here.
 
         Promotions need the store, so a node that fails to reach it has to go by the
@@ -308,10 +308,10 @@
         known = self.find_duty(name).duty
         claimed = await self.store.claim_duty(name, known, holder, claim)
         if claimed is not None:
-            self.note_duty(name, claimed)
+            self.record_duty(name, claimed)
         return claimed
 
-    def note_duty(self, name: str, duty: Duty) -> None:
+    def record_duty(self, name: str, duty: Duty) -> None:
         """Take in a duty's record, as read here or as another node has written it."""
         if duty.revision > self.find_duty(name).duty.revision:
             self.duties[name] = KnownDuty(duty, self.clock.now_ms())
@@ -347,7 +347,7 @@
             self._note_nodes(listing.nodes)
             self.terms = listing.terms
             for name, duty in listing.duties.items():
-                self.note_duty(name, duty)
+                self.record_duty(name, duty)
             self.fleet_digest = _digest(
                 (
                     sorted(listing.nodes, key=repr),
--- a/src/radishtrack/pooler/holder_succession.py
+++ b/src/radishtrack/pooler/coordinator_failover.py
@@ -40,7 +40,7 @@
 
 
 @attrs.define(eq=False)
-class HolderSuccession:
+class CoordinatorFailover:
     """One node's view of the holder.
 
     Parameters
@@ -59,11 +59,11 @@
     clock: Clock
     control: Control
     peers: Peers
-    answered_ms: float = 0.0
+    last_response_ms: float = 0.0
     """When the holder last answered this node."""
     copy_confirmed_ms: float = 0.0
     """When the holder's copy of the store was confirmed, by its last answer."""
-    witnessed_ms: float = 0.0
+    probe_confirmed_ms: float = 0.0
     """When a node that was asked for the holder last answered."""
     announcing: asyncio.Task[None] | None = None
 
@@ -72,20 +72,20 @@
         """Name of the holder by the duty's record."""
         return self.control.find_duty(RATES_DUTY).duty.holder
 
-    def note_answer(self, asked_ms: float, copy_age_ms: float) -> None:
+    def record_response(self, asked_ms: float, copy_age_ms: float) -> None:
         """Record an answer of the holder to what was sent at `asked_ms`."""
-        self.answered_ms = self.clock.now_ms()
+        self.last_response_ms = self.clock.now_ms()
         self.copy_confirmed_ms = asked_ms - copy_age_ms
 
-    def answered_age_ms(self) -> float:
+    def response_age_ms(self) -> float:
         """Return how long ago the holder has answered this node."""
         if self.holder == self.name:
             return 0.0
-        return self.clock.now_ms() - self.answered_ms
+        return self.clock.now_ms() - self.last_response_ms
 
-    def find_holder(self) -> NodeRecord | None:
+    def find_coordinator(self) -> NodeRecord | None:
         """Return the record of the holder, if it is another node that answers."""
-        if self.holder == self.name or self.answered_age_ms() > LOST_AFTER_MS:
+        if self.holder == self.name or self.response_age_ms() > LOST_AFTER_MS:
             return None
         return self.find_node(self.holder)
 
@@ -103,11 +103,11 @@
         is_released = known.duty.holder == NOBODY
         due_ms = known.seen_ms
         if not is_released:
-            due_ms = max(self.answered_ms, known.seen_ms) + LOST_AFTER_MS
+            due_ms = max(self.last_response_ms, known.seen_ms) + LOST_AFTER_MS
         due_ms += self._rank() * RANK_DELAY_MS
         if self.clock.now_ms() < due_ms:
             return False
-        if not is_released and not await self.is_agreed(due_ms):
+        if not is_released and not await self.is_loss_confirmed(due_ms):
             return False
         return await self._claim(known.duty)
 
@@ -123,7 +123,7 @@
             return False
         return await self._claim(known)
 
-    async def is_agreed(self, due_ms: float) -> bool:
+    async def is_loss_confirmed(self, due_ms: float) -> bool:
         """Tell whether other nodes don't hear the holder either.
 
         Parameters
@@ -137,19 +137,19 @@
         witnesses = others[:WITNESSES]
         answers = await asyncio.gather(
             *(
-                self.peers.ask(node, HolderAsked, WITNESS_TIMEOUT_MS)
+                self.peers.send_request(node, HolderAsked, WITNESS_TIMEOUT_MS)
                 for node in witnesses
             )
         )
         heard = [answer for answer in answers if isinstance(answer, HolderHeard)]
         now_ms = self.clock.now_ms()
         if any(answer.age_ms < LOST_AFTER_MS for answer in heard):
-            self.witnessed_ms = now_ms
+            self.probe_confirmed_ms = now_ms
             return False
         if heard or not witnesses:
             return True
         # One lost answer says nothing.
-        return now_ms >= max(due_ms, self.witnessed_ms) + ALONE_MS
+        return now_ms >= max(due_ms, self.probe_confirmed_ms) + ALONE_MS
 
     async def release(self) -> None:
         """Give the duty up, so that another node takes it without a wait."""
@@ -183,7 +183,7 @@
     async def _announce(self, duty: Duty) -> None:
         if duty.holder not in (self.name, NOBODY):
             return
-        await self.peers.ask_all(
+        await self.peers.request_all(
             lambda request: DutyChanged(
                 request, RATES_DUTY, duty.holder, duty.revision, duty.claim
             ),
--- a/src/radishtrack/pooler/evidence.py
+++ b/src/radishtrack/pooler/evidence.py
@@ -127,10 +127,10 @@
         self.applied[member] = max(position, self.applied.get(member, position))
         if member != self.primary or position.term > self.term:
             return
-        if at_ms < self.belief_until_ms():
+        if at_ms < self.valid_until_ms():
             self._add_sample(Sample(position, at_ms))
 
-    def belief_until_ms(self) -> float:
+    def valid_until_ms(self) -> float:
         """Return the time before which no later term acknowledges a commit."""
         asked = sorted(
             (
@@ -153,13 +153,13 @@
 
     def is_current(self, now_ms: float) -> bool:
         """Tell whether the primary is certainly the present one."""
-        return now_ms < self.belief_until_ms()
+        return now_ms < self.valid_until_ms()
 
-    def withdraw_belief(self, now_ms: float) -> None:
+    def invalidate(self, now_ms: float) -> None:
         """Let no report that was asked for before now prove the term."""
         self.evidence_from_ms = max(self.evidence_from_ms, now_ms)
 
-    def find_floor(self, max_age_ms: float, now_ms: float) -> Position | None:
+    def find_min_position(self, max_age_ms: float, now_ms: float) -> Position | None:
         """Return the lowest known position that has all commits older than an age.
 
         Returns
@@ -172,10 +172,10 @@
         )
         return self.samples[oldest].position if oldest < len(self.samples) else None
 
-    def has_applied(self, member: str, floor: Position) -> bool:
+    def has_applied(self, member: str, min_position: Position) -> bool:
         """Tell whether a member is known to have applied a position."""
         applied = self.applied.get(member)
-        return applied is not None and applied >= floor
+        return applied is not None and applied >= min_position
 
     def latest_position(self) -> Position | None:
         """Return the position of the newest sample."""
--- a/src/radishtrack/pooler/execution.py
+++ b/src/radishtrack/pooler/execution.py
@@ -101,7 +101,7 @@
     pooled: PooledLink,
     statement: Executable | Commit | Begin,
     *,
-    floor: Position | None,
+    min_position: Position | None,
     timeout_ms: float,
 ) -> MemberAnswer:
     """Run a statement on a connection and take in what its answer shows."""
@@ -109,7 +109,9 @@
     loop = asyncio.get_running_loop()
     late = loop.call_later(LATE_ANSWER_MS / 1000, access.request_poll)
     try:
-        answer = await pooled.run(statement, floor=floor, timeout_ms=timeout_ms)
+        answer = await pooled.run(
+            statement, min_position=min_position, timeout_ms=timeout_ms
+        )
     except LinkLost:
         # Connections can go silent for good, and those opened before share the fate.
         pool.drop_idle()
@@ -157,7 +159,9 @@
             continue
         plan.attempts += 1
         tried.add(untried[0])
-        last = await _read_once(access, request, statement, untried[0], read_plan.floor)
+        last = await _read_once(
+            access, request, statement, untried[0], read_plan.min_position
+        )
         refusal = last.answer.refusal
         if refusal is None or refusal in (Refusal.TIMED_OUT, Refusal.MALFORMED):
             return last
@@ -193,7 +197,7 @@
     request: Request,
     statement: Executable,
     member: str,
-    floor: Position | None,
+    min_position: Position | None,
 ) -> Result:
     pool = access.pools[member]
     plan = request.plan
@@ -211,7 +215,7 @@
                 pool,
                 pooled,
                 statement,
-                floor=floor,
+                min_position=min_position,
                 timeout_ms=min(limit_ms, remaining_ms),
             )
             return Result(answer, member)
@@ -246,7 +250,7 @@
                 pool,
                 pooled,
                 statement,
-                floor=None,
+                min_position=None,
                 timeout_ms=plan.remaining_ms(access.clock.now_ms()),
             )
         return await confirm_commit(access, Result(answer, member), term)
--- a/src/radishtrack/pooler/member_pool.py
+++ b/src/radishtrack/pooler/member_pool.py
@@ -46,10 +46,16 @@
     is_in_transaction: bool = False
 
     async def run(
-        self, statement: MemberStatement, *, floor: Position | None, timeout_ms: float
+        self,
+        statement: MemberStatement,
+        *,
+        min_position: Position | None,
+        timeout_ms: float,
     ) -> MemberAnswer:
         """Run a statement and note whether a transaction is open."""
-        answer = await self.link.run(statement, floor=floor, timeout_ms=timeout_ms)
+        answer = await self.link.run(
+            statement, min_position=min_position, timeout_ms=timeout_ms
+        )
         self.is_in_transaction = answer.state is not TransactionState.IDLE
         return answer
 
@@ -78,7 +84,7 @@
 
     async def _require(self, statement: MemberStatement) -> None:
         answer = await self.link.run(
-            statement, floor=None, timeout_ms=PREPARATION_TIMEOUT_MS
+            statement, min_position=None, timeout_ms=PREPARATION_TIMEOUT_MS
         )
         if answer.refusal is not None:
             self.link.close()
--- a/src/radishtrack/pooler/monitor.py
+++ b/src/radishtrack/pooler/monitor.py
@@ -157,7 +157,7 @@
         async with pool.lease_any(organisation, asked_ms + STATUS_TIMEOUT_MS) as pooled:
             sent_ms = clock.now_ms()
             answer = await pooled.run(
-                statement, floor=None, timeout_ms=STATUS_TIMEOUT_MS
+                statement, min_position=None, timeout_ms=STATUS_TIMEOUT_MS
             )
     except RequestError:
         # All connections are in use, which says nothing about the member.
--- a/src/radishtrack/pooler/node.py
+++ b/src/radishtrack/pooler/node.py
@@ -198,7 +198,7 @@
             self.monitors[member] = start_task(monitor.run(), f"monitor of {member}")
 
     def _knows_announcements(self, max_age_ms: float) -> bool:
-        return self.is_listening and self.control.knows_announcements(max_age_ms)
+        return self.is_listening and self.control.has_all_announcements(max_age_ms)
 
     def _has_recent_keys(self) -> bool:
         limit_ms = self.options.key_age_limit_ms
@@ -281,7 +281,7 @@
         # Nobody could ask this node to withdraw its evidence before.
         now_ms = self.clock.now_ms()
         for access in self.groups.values():
-            access.evidence.withdraw_belief(now_ms)
+            access.evidence.invalidate(now_ms)
         self.is_listening = True
         try:
             await server.wait_closed()
@@ -310,16 +310,16 @@
             case WithdrawBelief(request, database):
                 access = self.groups.get(database)
                 if access is not None:
-                    access.evidence.withdraw_belief(self.clock.now_ms())
+                    access.evidence.invalidate(self.clock.now_ms())
                 return BeliefWithdrawn(request)
             case SharesWanted():
                 return self.rates.grant(peer, message)
             case SharesReturned():
                 return self.rates.take_back(peer, message)
             case HolderAsked(request):
-                return HolderHeard(request, self.rates.succession.answered_age_ms())
+                return HolderHeard(request, self.rates.failover.response_age_ms())
             case DutyChanged():
-                return self.rates.note_duty(message)
+                return self.rates.record_duty(message)
             case ReportsWanted():
                 return self.relay.answer(peer, message)
             case _:
@@ -372,7 +372,7 @@
         clock=clock,
         control=control,
         peers=peers,
-        find_relay=rates.succession.find_holder,
+        find_relay=rates.failover.find_coordinator,
         is_relay=rates.is_holder,
         groups=groups,
     )
--- a/src/radishtrack/pooler/peers.py
+++ b/src/radishtrack/pooler/peers.py
@@ -54,7 +54,7 @@
         """Return the registered nodes without this one."""
         return tuple(node for node in self.list_nodes() if node.name != self.name)
 
-    async def ask(
+    async def send_request(
         self, node: NodeRecord, make_message: MakeMessage, timeout_ms: float
     ) -> Message | NotRunning | None:
         """Ask one peer; None if it does not answer in time."""
@@ -75,13 +75,13 @@
         except TimeoutError:
             return None
 
-    async def ask_all(
+    async def request_all(
         self, make_message: MakeMessage, timeout_ms: float
     ) -> dict[str, Message | NotRunning | None]:
         """Ask all registered peers at the same time; answers by node name."""
         nodes = self.others()
         answers = await asyncio.gather(
-            *(self.ask(node, make_message, timeout_ms) for node in nodes)
+            *(self.send_request(node, make_message, timeout_ms) for node in nodes)
         )
         return {node.name: answer for node, answer in zip(nodes, answers, strict=True)}
 
--- a/src/radishtrack/pooler/ports.py
+++ b/src/radishtrack/pooler/ports.py
@@ -68,7 +68,11 @@
         """Whether the connection has ended."""
 
     async def run(
-        self, statement: MemberStatement, *, floor: Position | None, timeout_ms: float
+        self,
+        statement: MemberStatement,
+        *,
+        min_position: Position | None,
+        timeout_ms: float,
     ) -> MemberAnswer:
         """Run a statement and return its complete answer.
 
--- a/src/radishtrack/pooler/promoter.py
+++ b/src/radishtrack/pooler/promoter.py
@@ -14,9 +14,9 @@
 from radishtrack.peer.messages import BeliefWithdrawn, Vote, VoteRequest, WithdrawBelief
 from radishtrack.pooler.catalog import MemberReport
 from radishtrack.pooler.control import DEPARTURE_MS, Control
+from radishtrack.pooler.coordinator_failover import RATES_DUTY
 from radishtrack.pooler.evidence import BELIEF_MS
 from radishtrack.pooler.group_access import GroupAccess
-from radishtrack.pooler.holder_succession import RATES_DUTY
 from radishtrack.pooler.monitor import ask_member
 from radishtrack.pooler.peers import NotRunning, Peers
 from radishtrack.pooler.ports import PromoteMember, PromotionResult, StoreUnavailable
@@ -243,7 +243,7 @@
         return ""
 
     async def _is_agreed(self, access: GroupAccess, primary: str) -> bool:
-        answers = await self.peers.ask_all(
+        answers = await self.peers.request_all(
             lambda request: VoteRequest(request, access.name, primary), VOTE_TIMEOUT_MS
         )
         votes = [answer for answer in answers.values() if isinstance(answer, Vote)]
@@ -268,9 +268,9 @@
         The list of nodes has to be read after the members were fenced: a node that
         registers later can't gather evidence of the old term.
         """
-        access.evidence.withdraw_belief(self.clock.now_ms())
+        access.evidence.invalidate(self.clock.now_ms())
         is_complete = await self.control.confirm()
-        answers = await self.peers.ask_all(
+        answers = await self.peers.request_all(
             lambda request: WithdrawBelief(request, access.name),
             WITHDRAW_TIMEOUT_MS,
         )
--- a/src/radishtrack/pooler/rate_exchange.py
+++ b/src/radishtrack/pooler/rate_exchange.py
@@ -17,7 +17,7 @@
     SharesWanted,
 )
 from radishtrack.pooler.control import Control
-from radishtrack.pooler.holder_succession import RATES_DUTY, HolderSuccession
+from radishtrack.pooler.coordinator_failover import RATES_DUTY, CoordinatorFailover
 from radishtrack.pooler.peers import NotRunning, Peers
 from radishtrack.pooler.ports import Duty
 from radishtrack.pooler.rate_limit import RateLimiter
@@ -47,7 +47,7 @@
     clock: Clock
     control: Control
     peers: Peers
-    succession: HolderSuccession
+    failover: CoordinatorFailover
     limiter: RateLimiter = attrs.field(factory=RateLimiter)
     holder: ShareHolder | None = None
     """This node's state as holder, while it is that."""
@@ -124,10 +124,10 @@
         age_ms = self.control.age_ms()
         return SharesGranted(message.request, epoch, NOTHING_LENT, (), age_ms)
 
-    def note_duty(self, message: DutyChanged) -> DutyNoted:
+    def record_duty(self, message: DutyChanged) -> DutyNoted:
         """Take in that another node became the holder, or that the holder stops."""
         duty = Duty(message.holder, message.revision, message.claim)
-        self.control.note_duty(message.name, duty)
+        self.control.record_duty(message.name, duty)
         self.follow_duty()
         self.wanted.set()
         return DutyNoted(message.request)
@@ -151,7 +151,7 @@
 
     async def run(self) -> None:
         """Exchange whenever tokens are needed, and regularly."""
-        self.succession.answered_ms = self.clock.now_ms()
+        self.failover.last_response_ms = self.clock.now_ms()
         while True:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(EXCHANGE_INTERVAL_MS / 1000):
@@ -183,7 +183,7 @@
     async def release(self) -> None:
         """Give the duty up before this node stops."""
         self.is_stopping = True
-        await self.succession.release()
+        await self.failover.release()
         self.follow_duty()
 
     async def return_shares(self) -> None:
@@ -194,24 +194,26 @@
         """
         earlier, self.lent_to = self.lent_to, ""
         is_returned = earlier == self.name
-        record = self.succession.find_node(earlier)
+        record = self.failover.find_node(earlier)
         if not is_returned and record is not None:
-            answer = await self.peers.ask(record, SharesReturned, EXCHANGE_TIMEOUT_MS)
+            answer = await self.peers.send_request(
+                record, SharesReturned, EXCHANGE_TIMEOUT_MS
+            )
             is_returned = isinstance(answer, SharesGranted | NotRunning)
         if is_returned:
             self.limiter.end_promise(self.clock.now_ms())
 
     async def _take_over(self, is_answered: bool) -> None:
         """Become the holder if there is a reason, and no other node is faster."""
-        succession = self.succession
-        replace = succession.replace_stale if is_answered else succession.replace_lost
+        failover = self.failover
+        replace = failover.replace_stale if is_answered else failover.replace_lost
         if await replace():
             self.configure()
             self.wanted.set()
 
     async def _exchange(self) -> bool:
         """Ask the holder once; return whether it answered."""
-        holder = self.succession.holder
+        holder = self.failover.holder
         if self.lent_to not in ("", holder):
             await self.return_shares()
         asked_ms = self.clock.now_ms()
@@ -223,7 +225,7 @@
             if answer.epoch == self.epoch:
                 self.limiter.end_promise(now_ms)
             return False
-        self.succession.note_answer(asked_ms, answer.copy_age_ms)
+        self.failover.record_response(asked_ms, answer.copy_age_ms)
         if answer.epoch != self.epoch:
             if now_ms < self.limiter.lent_until_ms:
                 # The shares are still lent to the earlier holder.
@@ -242,10 +244,10 @@
         if holder == self.name:
             own = SharesWanted(0, self.epoch, self.reply, nodes, wanted)
             return self.grant(self.name, own)
-        record = self.succession.find_node(holder)
+        record = self.failover.find_node(holder)
         if record is None:
             return None
-        answer = await self.peers.ask(
+        answer = await self.peers.send_request(
             record,
             lambda request: SharesWanted(
                 request, self.epoch, self.reply, nodes, wanted
@@ -267,5 +269,5 @@
     name: str, clock: Clock, control: Control, peers: Peers
 ) -> RateExchange:
     """Return a node's part in dividing the rates; nothing is lent yet."""
-    succession = HolderSuccession(name, clock, control, peers)
-    return RateExchange(name, clock, control, peers, succession)
+    failover = CoordinatorFailover(name, clock, control, peers)
+    return RateExchange(name, clock, control, peers, failover)
--- a/src/radishtrack/pooler/report_relay.py
+++ b/src/radishtrack/pooler/report_relay.py
@@ -112,7 +112,7 @@
         if relay.name != self.relay:
             self.relay, self.received = relay.name, 0
         asked_ms = self.clock.now_ms()
-        answer = await self.peers.ask(
+        answer = await self.peers.send_request(
             relay,
             lambda request: ReportsWanted(request, self.received),
             RELAY_TIMEOUT_MS,
--- a/src/radishtrack/pooler/request_log.py
+++ b/src/radishtrack/pooler/request_log.py
@@ -87,7 +87,7 @@
             configuration_age_ms=round(session.context.catalog_age_ms()),
             term=evidence.term,
             primary=evidence.primary,
-            belief_left_ms=round(evidence.belief_until_ms() - now_ms),
+            belief_left_ms=round(evidence.valid_until_ms() - now_ms),
         )
 
     def observe_denied(self, database: str, denied: Denied, age_ms: float) -> None:
--- a/tests/pooler_world.py
+++ b/tests/pooler_world.py
@@ -51,7 +51,7 @@
     connection: LineConnection
     statements: int = 0
 
-    async def ask(self, text: str) -> list[str]:
+    async def execute(self, text: str) -> list[str]:
         """Return the lines that answer a statement; the last one is `READY`."""
         self.statements += 1
         self.connection.write(encode_line(f"QUERY q{self.statements} {text}"))
@@ -94,8 +94,8 @@
 
 
 @attrs.define(eq=False)
-class World:
-    """The fleet; make it with `open_world`."""
+class Simulation:
+    """The fleet; make it with `open_simulation`."""
 
     store: StandInStore
     members: dict[str, LineMember]
@@ -157,7 +157,7 @@
 
 
 @asynccontextmanager
-async def open_world(nodes: int = 1) -> AsyncIterator[World]:
+async def open_simulation(nodes: int = 1) -> AsyncIterator[Simulation]:
     """Start a store, three members and some nodes that are ready to serve."""
     store = StandInStore()
     await store.start()
@@ -165,42 +165,44 @@
         name: LineMember(GROUP, name, "primary" if name == "i-1" else "replica")
         for name in ("i-1", "i-2", "i-3")
     }
-    world = World(store, members)
-    store.on_order = world.promote
+    simulation = Simulation(store, members)
+    store.on_order = simulation.promote
     try:
         for member in members.values():
             await member.start()
-            world.register(member)
-        world.primary.replicas = [m for m in members.values() if m.role == "replica"]
+            simulation.register(member)
+        simulation.primary.replicas = [
+            m for m in members.values() if m.role == "replica"
+        ]
         store.put("config", "main", make_config())
         for number in range(nodes):
-            await world.start_node(f"edge-{number + 1}")
-        for running in world.nodes:
+            await simulation.start_node(f"edge-{number + 1}")
+        for running in simulation.nodes:
             await wait_until(running.node.is_ready)
-        await wait_until(lambda: _is_served(world))
-        yield world
+        await wait_until(lambda: _is_served(simulation))
+        yield simulation
     finally:
-        for running in world.nodes:
+        for running in simulation.nodes:
             await running.stop()
         for member in members.values():
             await member.stop()
         await store.stop()
 
 
-def _is_served(world: World) -> bool:
+def _is_served(simulation: Simulation) -> bool:
     """Tell whether all nodes have evidence and the rates' holder has tokens."""
-    holders = [running.node.rates.holder for running in world.nodes]
+    holders = [running.node.rates.holder for running in simulation.nodes]
     tokens = [
         lent.bucket.available()
         for holder in holders
         if holder is not None
         for lent in holder.buckets.values()
     ]
-    if not world.nodes:
+    if not simulation.nodes:
         return True
     return min(tokens, default=0) >= MIN_TOKENS and all(
         running.node.find_group(GROUP).evidence.is_current(running.node.clock.now_ms())
-        for running in world.nodes
+        for running in simulation.nodes
     )
 
 
--- a/tests/test_pooler_control.py
+++ b/tests/test_pooler_control.py
@@ -183,12 +183,12 @@
 ) -> None:
     """A promotion may have been announced and completed meanwhile."""
     await control.confirm()
-    assert control.knows_announcements(2_000.0)
+    assert control.has_all_announcements(2_000.0)
     time.advance(10_000.0)
-    assert not control.knows_announcements(2_000.0)
+    assert not control.has_all_announcements(2_000.0)
     store.is_down = True
     assert not await control.confirm()
-    assert control.knows_announcements(2_000.0)
+    assert control.has_all_announcements(2_000.0)
 
 
 async def test_a_removed_node_counts_until_it_must_have_stopped(
--- a/tests/test_pooler_evidence.py
+++ b/tests/test_pooler_evidence.py
@@ -89,7 +89,7 @@
 def test_withdrawn_belief_needs_new_reports() -> None:
     """A node that has agreed to a promotion may not serve on earlier evidence."""
     evidence = make_evidence(PRIMARY, make_report("b"))
-    evidence.withdraw_belief(150.0)
+    evidence.invalidate(150.0)
     assert not evidence.is_current(151.0)
     evidence.observe_report(PRIMARY, 160.0, 161.0)
     evidence.observe_report(make_report("b"), 160.0, 161.0)
@@ -126,8 +126,8 @@
     evidence.set_members(frozenset({"d", "e"}))
     evidence.observe_report(make_report("d", term=2, sequence=114), 400.0, 401.0)
     evidence.observe_report(make_report("e", term=1, sequence=114), 400.0, 401.0)
-    floor = evidence.find_floor(1_000.0, 500.0)
-    assert floor == Position(2, 144)
+    min_position = evidence.find_min_position(1_000.0, 500.0)
+    assert min_position == Position(2, 144)
 
 
 def test_replicas_alone_tell_what_was_acknowledged() -> None:
@@ -135,8 +135,8 @@
     evidence = make_evidence(PRIMARY, make_report("b"), make_report("c"))
     evidence.observe_report(make_report("b", sequence=12), 900.0, 901.0)
     evidence.observe_report(make_report("c", sequence=11), 950.0, 951.0)
-    assert evidence.find_floor(500.0, 1_300.0) == Position(1, 12)
-    assert evidence.find_floor(300.0, 1_300.0) is None
+    assert evidence.find_min_position(500.0, 1_300.0) == Position(1, 12)
+    assert evidence.find_min_position(300.0, 1_300.0) is None
 
 
 def test_a_member_that_lost_its_log_proves_nothing() -> None:
@@ -222,9 +222,9 @@
     evidence = GroupEvidence("g")
     evidence.set_members(frozenset({"b", "c"}))
     evidence.observe_report(make_report("b", sequence=37), 100.0, 101.0)
-    assert evidence.find_floor(1_000.0, 200.0) is None
+    assert evidence.find_min_position(1_000.0, 200.0) is None
     evidence.observe_report(make_report("c", sequence=47), 100.0, 101.0)
-    assert evidence.find_floor(1_000.0, 200.0) in (None, Position(1, 47))
+    assert evidence.find_min_position(1_000.0, 200.0) in (None, Position(1, 47))
 
 
 def test_a_member_that_lapsed_still_counts_for_what_was_acknowledged() -> None:
@@ -232,4 +232,4 @@
     evidence = make_evidence(PRIMARY, make_report("b"), make_report("c"))
     evidence.set_members(frozenset({"a", "b"}))
     evidence.observe_report(make_report("b", sequence=11), 900.0, 901.0)
-    assert evidence.find_floor(200.0, 1_000.0) is None
+    assert evidence.find_min_position(200.0, 1_000.0) is None
--- a/tests/test_pooler_failover.py
+++ b/tests/test_pooler_failover.py
@@ -13,35 +13,35 @@
 from tests.pooler_world import (
     GROUP,
     Client,
-    World,
+    Simulation,
     make_config,
-    open_world,
+    open_simulation,
     wait_until,
 )
 
 GAP_LIMIT_S = 7.0
 
 
-async def write_until_served(world: World, client: Client) -> None:
+async def write_until_served(simulation: Simulation, client: Client) -> None:
     """Repeat a write until it succeeds; the limit is that for a change of primary."""
     async with asyncio.timeout(GAP_LIMIT_S):
-        while not (await client.ask("WRITE 1 x"))[0].startswith("COMPLETE"):
+        while not (await client.execute("WRITE 1 x"))[0].startswith("COMPLETE"):
             await asyncio.sleep(0.02)
 
 
 async def test_a_crashed_primary_is_replaced_and_loses_nothing() -> None:
     """The promoted member must hold every acknowledged commit."""
-    async with open_world(nodes=2) as world:
-        client = await world.connect(world.nodes[0], "orders")
+    async with open_simulation(nodes=2) as simulation:
+        client = await simulation.connect(simulation.nodes[0], "orders")
         for _ in range(3):
-            assert (await client.ask("WRITE 1 x"))[0].startswith("COMPLETE")
+            assert (await client.execute("WRITE 1 x"))[0].startswith("COMPLETE")
         # One replica missed the last commit, which the other one acknowledged.
-        world.members["i-2"].received = world.members["i-2"].applied = 2
-        await world.members["i-1"].stop()
-        await write_until_served(world, client)
-        assert world.members["i-3"].role == "primary"
-        assert world.members["i-3"].received == 4
-        assert (await client.ask("READ 1"))[0] == "DATAROW i-3@2.4"
+        simulation.members["i-2"].received = simulation.members["i-2"].applied = 2
+        await simulation.members["i-1"].stop()
+        await write_until_served(simulation, client)
+        assert simulation.members["i-3"].role == "primary"
+        assert simulation.members["i-3"].received == 4
+        assert (await client.execute("READ 1"))[0] == "DATAROW i-3@2.4"
 
 
 async def test_a_promotion_outlasts_its_first_claim() -> None:
@@ -50,29 +50,29 @@
     Attempts then ended just before the order, one after the other, and left the
     members fenced.
     """
-    async with open_world() as world:
-        client = await world.connect(world.nodes[0], "orders")
-        promoter = world.nodes[0].node.promoter
+    async with open_simulation() as simulation:
+        client = await simulation.connect(simulation.nodes[0], "orders")
+        promoter = simulation.nodes[0].node.promoter
         promoter.started_ms -= DEPARTURE_MS
         silent = await asyncio.start_server(_keep_silent, "127.0.0.1", 0)
         async with silent:
             record = NodeRecord(
                 "edge-9", "127.0.0.1", silent.sockets[0].getsockname()[1], "oslo-a", 1
             )
-            await world.nodes[0].node.control.store.register_node(record)
-            await world.nodes[0].node.control.confirm()
-            world.store.faults.delay_s = 0.3
-            await world.members["i-1"].stop()
-            await write_until_served(world, client)
-        tokens = [token for _, _, _, token in world.store.orders]
+            await simulation.nodes[0].node.control.store.register_node(record)
+            await simulation.nodes[0].node.control.confirm()
+            simulation.store.faults.delay_s = 0.3
+            await simulation.members["i-1"].stop()
+            await write_until_served(simulation, client)
+        tokens = [token for _, _, _, token in simulation.store.orders]
         assert len(tokens) == 1
 
 
 async def test_a_claim_that_another_node_replaced_is_not_renewed() -> None:
     """Renewing it would take the duty from a node that has begun a promotion."""
-    async with open_world() as world:
-        duty = world.nodes[0].node.promoter.duty
-        control = world.nodes[0].node.control
+    async with open_simulation() as simulation:
+        duty = simulation.nodes[0].node.promoter.duty
+        control = simulation.nodes[0].node.control
         claim = await duty.claim()
         assert claim is not None and await duty.renew(claim)
         first = claim.duty.revision
@@ -95,199 +95,199 @@
 
 async def test_fencing_tokens_grow_with_each_promotion() -> None:
     """The platform may not check tokens, so none may be lower than an earlier one."""
-    async with open_world(nodes=2) as world:
-        client = await world.connect(world.nodes[0], "orders")
-        first = world.members["i-1"]
+    async with open_simulation(nodes=2) as simulation:
+        client = await simulation.connect(simulation.nodes[0], "orders")
+        first = simulation.members["i-1"]
         await first.stop()
-        await write_until_served(world, client)
+        await write_until_served(simulation, client)
         first.role, first.term = "replica", 2
         await first.start(first.port)
-        evidence = world.nodes[0].node.find_group(GROUP).evidence
+        evidence = simulation.nodes[0].node.find_group(GROUP).evidence
         await wait_until(
-            lambda: evidence.is_current(world.nodes[0].node.clock.now_ms())
+            lambda: evidence.is_current(simulation.nodes[0].node.clock.now_ms())
         )
-        pools = world.nodes[0].node.find_group(GROUP).pools
+        pools = simulation.nodes[0].node.find_group(GROUP).pools
         await wait_until(lambda: pools["i-1"].is_reachable)
-        await world.primary.stop()
-        await write_until_served(world, client)
-        tokens = [token for _, _, _, token in world.store.orders]
+        await simulation.primary.stop()
+        await write_until_served(simulation, client)
+        tokens = [token for _, _, _, token in simulation.store.orders]
         assert len(tokens) >= 2 and tokens == sorted(set(tokens))
 
 
 async def test_no_promotion_while_another_node_reaches_the_primary() -> None:
     """One node's bad network must not depose a healthy primary."""
-    async with open_world(nodes=2) as world:
-        access = world.nodes[0].node.find_group(GROUP)
+    async with open_simulation(nodes=2) as simulation:
+        access = simulation.nodes[0].node.find_group(GROUP)
         cut_off = attrs.evolve(access.pools["i-1"].member, port=find_free_ports(1)[0])
         access.pools["i-1"].member = cut_off
         access.pools["i-1"].drop_all()
         await wait_until(lambda: not access.pools["i-1"].is_reachable)
         await asyncio.sleep(1.0)
-        assert world.store.orders == []
-        client = await world.connect(world.nodes[1], "orders")
-        assert (await client.ask("WRITE 1 x"))[0].startswith("COMPLETE i-1")
+        assert simulation.store.orders == []
+        client = await simulation.connect(simulation.nodes[1], "orders")
+        assert (await client.execute("WRITE 1 x"))[0].startswith("COMPLETE i-1")
 
 
 async def test_a_leaving_primary_hands_over() -> None:
     """A member that is about to stop must get no new work after some seconds."""
-    async with open_world(nodes=2) as world:
-        client = await world.connect(world.nodes[0], "orders")
-        assert (await client.ask("WRITE 1 x"))[0].startswith("COMPLETE i-1")
-        world.register(world.members["i-1"], state="draining")
-        await wait_until(lambda: world.members["i-1"].role == "replica")
-        await write_until_served(world, client)
-        assert not any(member.fenced_term for member in world.members.values())
+    async with open_simulation(nodes=2) as simulation:
+        client = await simulation.connect(simulation.nodes[0], "orders")
+        assert (await client.execute("WRITE 1 x"))[0].startswith("COMPLETE i-1")
+        simulation.register(simulation.members["i-1"], state="draining")
+        await wait_until(lambda: simulation.members["i-1"].role == "replica")
+        await write_until_served(simulation, client)
+        assert not any(member.fenced_term for member in simulation.members.values())
 
 
 async def test_no_promotion_without_the_store() -> None:
     """Without the store a promoter can't be the only one, nor know all members."""
-    async with open_world() as world:
-        world.store.faults.status = 503
-        await world.members["i-1"].stop()
-        client = await world.connect(world.nodes[0], "orders")
-        answer = await client.ask("WRITE 1 x")
+    async with open_simulation() as simulation:
+        simulation.store.faults.status = 503
+        await simulation.members["i-1"].stop()
+        client = await simulation.connect(simulation.nodes[0], "orders")
+        answer = await client.execute("WRITE 1 x")
         assert answer[0].startswith("ERROR BUSY")
         await asyncio.sleep(1.0)
-        assert world.store.orders == []
-        assert not any(member.fenced_term for member in world.members.values())
+        assert simulation.store.orders == []
+        assert not any(member.fenced_term for member in simulation.members.values())
 
 
 async def test_a_lost_answer_of_a_write_is_an_unknown_outcome() -> None:
     """Saying that it did not run, or running it again, would be wrong."""
-    async with open_world() as world:
-        client = await world.connect(world.nodes[0], "orders")
-        world.primary.faults.lose_answers = 1
-        assert (await client.ask("WRITE 1 x"))[0].startswith("ERROR INDOUBT")
-        assert world.primary.received == 1
+    async with open_simulation() as simulation:
+        client = await simulation.connect(simulation.nodes[0], "orders")
+        simulation.primary.faults.lose_answers = 1
+        assert (await client.execute("WRITE 1 x"))[0].startswith("ERROR INDOUBT")
+        assert simulation.primary.received == 1
 
 
 async def test_a_lost_answer_of_a_commit_is_an_unknown_outcome() -> None:
     """The commit may have taken effect, so it is not a promise."""
-    async with open_world() as world:
-        client = await world.connect(world.nodes[0], "orders")
-        await client.ask("BEGIN")
-        await client.ask("WRITE 1 x")
-        world.primary.faults.lose_answers = 1
-        assert (await client.ask("COMMIT"))[0].startswith("ERROR INDOUBT")
+    async with open_simulation() as simulation:
+        client = await simulation.connect(simulation.nodes[0], "orders")
+        await client.execute("BEGIN")
+        await client.execute("WRITE 1 x")
+        simulation.primary.faults.lose_answers = 1
+        assert (await client.execute("COMMIT"))[0].startswith("ERROR INDOUBT")
 
 
 async def test_a_lost_answer_inside_a_transaction_aborts_it() -> None:
     """Nothing of a transaction is kept whose commit was never sent."""
-    async with open_world() as world:
-        client = await world.connect(world.nodes[0], "orders")
-        await client.ask("BEGIN")
-        world.primary.faults.lose_answers = 1
-        failed = await client.ask("WRITE 1 x")
+    async with open_simulation() as simulation:
+        client = await simulation.connect(simulation.nodes[0], "orders")
+        await client.execute("BEGIN")
+        simulation.primary.faults.lose_answers = 1
+        failed = await client.execute("WRITE 1 x")
         assert failed[0].startswith("ERROR ABORTED") and failed[1] == "READY E -"
-        assert (await client.ask("READ 1"))[0].startswith("ERROR MALFORMED")
-        assert (await client.ask("COMMIT"))[0].startswith("ERROR ABORTED")
-        assert (await client.ask("READ 1"))[-1] == "READY I -"
-        assert world.primary.received == 0
+        assert (await client.execute("READ 1"))[0].startswith("ERROR MALFORMED")
+        assert (await client.execute("COMMIT"))[0].startswith("ERROR ABORTED")
+        assert (await client.execute("READ 1"))[-1] == "READY I -"
+        assert simulation.primary.received == 0
 
 
 async def test_a_read_goes_on_at_another_member() -> None:
     """A read changes nothing, so a lost answer must not reach the client."""
-    async with open_world() as world:
-        client = await world.connect(world.nodes[0], "status")
-        for member in world.members.values():
+    async with open_simulation() as simulation:
+        client = await simulation.connect(simulation.nodes[0], "status")
+        for member in simulation.members.values():
             member.faults.lose_answers = 1
-        assert (await client.ask("READ 1"))[0].startswith("DATAROW")
+        assert (await client.execute("READ 1"))[0].startswith("DATAROW")
 
 
 async def test_a_session_reads_its_own_write_while_replicas_lag() -> None:
     """A replica that has not applied the session's commit must not serve it."""
-    async with open_world() as world:
-        world.primary.replicas_apply = False
-        client = await world.connect(world.nodes[0], "receipts")
+    async with open_simulation() as simulation:
+        simulation.primary.replicas_apply = False
+        client = await simulation.connect(simulation.nodes[0], "receipts")
         for number in range(1, 6):
-            assert (await client.ask("WRITE 1 x"))[0].startswith("COMPLETE")
-            assert (await client.ask("READ 1"))[0] == f"DATAROW i-1@1.{number}"
+            assert (await client.execute("WRITE 1 x"))[0].startswith("COMPLETE")
+            assert (await client.execute("READ 1"))[0] == f"DATAROW i-1@1.{number}"
 
 
 async def test_strict_reads_need_evidence_from_two_members() -> None:
     """A primary that was replaced behind a cut still answers reads."""
-    async with open_world() as world:
-        client = await world.connect(world.nodes[0], "orders")
+    async with open_simulation() as simulation:
+        client = await simulation.connect(simulation.nodes[0], "orders")
         for name in ("i-2", "i-3"):
-            await world.members[name].stop()
-        evidence = world.nodes[0].node.find_group(GROUP).evidence
-        clock = world.nodes[0].node.clock
+            await simulation.members[name].stop()
+        evidence = simulation.nodes[0].node.find_group(GROUP).evidence
+        clock = simulation.nodes[0].node.clock
         await wait_until(lambda: not evidence.is_current(clock.now_ms()))
-        assert (await client.ask("READ 1"))[0].startswith("ERROR BUSY")
+        assert (await client.execute("READ 1"))[0].startswith("ERROR BUSY")
 
 
 async def test_a_prepared_statement_survives_a_restart_of_the_member() -> None:
     """A restarted member knows no prepared statements and no connections."""
-    async with open_world() as world:
-        client = await world.connect(world.nodes[0], "orders")
-        await client.ask("PREPARE s READ q")
-        assert (await client.ask("EXECUTE s 1"))[0].startswith("DATAROW")
-        member = world.members["i-1"]
+    async with open_simulation() as simulation:
+        client = await simulation.connect(simulation.nodes[0], "orders")
+        await client.execute("PREPARE s READ q")
+        assert (await client.execute("EXECUTE s 1"))[0].startswith("DATAROW")
+        member = simulation.members["i-1"]
         await member.stop()
         await member.start(member.port)
         async with asyncio.timeout(GAP_LIMIT_S):
-            while not (await client.ask("EXECUTE s 1"))[0].startswith("DATAROW"):
+            while not (await client.execute("EXECUTE s 1"))[0].startswith("DATAROW"):
                 await asyncio.sleep(0.02)
 
 
 async def test_an_idle_transaction_is_rolled_back() -> None:
     """A client that rests in a transaction must not keep a scarce connection."""
-    async with open_world() as world:
+    async with open_simulation() as simulation:
         config = make_config(version=2)
         config["limits"] = {"txIdleMs": 200}
-        world.store.put("config", "main", config)
-        control = world.nodes[0].node.control
+        simulation.store.put("config", "main", config)
+        control = simulation.nodes[0].node.control
         await wait_until(lambda: control.catalog.version == 2)
-        client = await world.connect(world.nodes[0], "orders")
-        await client.ask("BEGIN")
-        await client.ask("WRITE 1 x")
-        pool = world.nodes[0].node.find_group(GROUP).pools["i-1"]
+        client = await simulation.connect(simulation.nodes[0], "orders")
+        await client.execute("BEGIN")
+        await client.execute("WRITE 1 x")
+        pool = simulation.nodes[0].node.find_group(GROUP).pools["i-1"]
         assert len(pool.busy) == 1
         await wait_until(lambda: not pool.busy)
-        assert (await client.ask("COMMIT"))[0].startswith("ERROR ABORTED")
-        assert world.primary.received == 0
+        assert (await client.execute("COMMIT"))[0].startswith("ERROR ABORTED")
+        assert simulation.primary.received == 0
 
 
 async def test_a_leaving_primary_without_a_successor_is_not_used_for_long() -> None:
     """It holds commits that no other member has, but may get no work after 7 s."""
-    async with open_world() as world:
-        access = world.nodes[0].node.find_group(GROUP)
+    async with open_simulation() as simulation:
+        access = simulation.nodes[0].node.find_group(GROUP)
         for name in ("i-2", "i-3"):
-            await world.members[name].stop()
-        world.register(world.members["i-1"], state="draining")
+            await simulation.members[name].stop()
+        simulation.register(simulation.members["i-1"], state="draining")
         await wait_until(lambda: "i-1" in access.leaving_ms)
         assert access.may_use("i-1")
         access.leaving_ms["i-1"] -= 4_600.0
-        client = await world.connect(world.nodes[0], "orders")
-        assert (await client.ask("WRITE 1 x"))[0].startswith("ERROR BUSY")
+        client = await simulation.connect(simulation.nodes[0], "orders")
+        assert (await client.execute("WRITE 1 x"))[0].startswith("ERROR BUSY")
 
 
 async def test_a_node_starts_while_the_store_refuses_calls() -> None:
     """The age of a copy that does not exist yet ended the process in its first log."""
-    async with open_world(nodes=0) as world:
-        world.store.faults.status = 429
-        running = await world.start_node("edge-1")
+    async with open_simulation(nodes=0) as simulation:
+        simulation.store.faults.status = 429
+        running = await simulation.start_node("edge-1")
         await wait_until(lambda: not running.node.control.is_available)
         assert not running.task.done()
-        world.store.faults.status = 0
+        simulation.store.faults.status = 0
         await wait_until(running.node.is_ready)
 
 
 async def test_without_synchronous_replicas_commits_need_evidence_of_the_term() -> None:
     """A replaced primary acknowledges alone, and its commits are discarded."""
-    async with open_world() as world:
-        world.store.put("config", "main", make_config(version=2, replicas=0))
-        access = world.nodes[0].node.find_group(GROUP)
+    async with open_simulation() as simulation:
+        simulation.store.put("config", "main", make_config(version=2, replicas=0))
+        access = simulation.nodes[0].node.find_group(GROUP)
         await wait_until(lambda: access.evidence.synchronous_replicas == 0)
-        client = await world.connect(world.nodes[0], "orders")
-        assert (await client.ask("WRITE 1 x"))[0].startswith("COMPLETE")
-        await client.ask("BEGIN")
-        await client.ask("WRITE 1 x")
+        client = await simulation.connect(simulation.nodes[0], "orders")
+        assert (await client.execute("WRITE 1 x"))[0].startswith("COMPLETE")
+        await client.execute("BEGIN")
+        await client.execute("WRITE 1 x")
         for name in ("i-2", "i-3"):
-            await world.members[name].stop()
+            await simulation.members[name].stop()
         await wait_until(lambda: not access.is_current())
-        assert (await client.ask("COMMIT"))[0].startswith("ERROR INDOUBT")
-        assert (await client.ask("WRITE 1 x"))[0].startswith("ERROR BUSY")
+        assert (await client.execute("COMMIT"))[0].startswith("ERROR INDOUBT")
+        assert (await client.execute("WRITE 1 x"))[0].startswith("ERROR BUSY")
 
 
 async def test_a_commit_is_acknowledged_only_while_its_term_is_proven() -> None:
@@ -295,24 +295,24 @@
 
     The promotion fences the members that are listed, so the lapsed one goes on.
     """
-    async with open_world() as world:
-        client = await world.connect(world.nodes[0], "orders")
-        assert (await client.ask("WRITE 1 x"))[0].startswith("COMPLETE")
-        access = world.nodes[0].node.find_group(GROUP)
+    async with open_simulation() as simulation:
+        client = await simulation.connect(simulation.nodes[0], "orders")
+        assert (await client.execute("WRITE 1 x"))[0].startswith("COMPLETE")
+        access = simulation.nodes[0].node.find_group(GROUP)
         for name in ("i-2", "i-3"):
-            world.members[name].fenced_term = 2
-        access.evidence.withdraw_belief(access.clock.now_ms())
-        assert (await client.ask("WRITE 1 x"))[0].startswith("ERROR INDOUBT")
+            simulation.members[name].fenced_term = 2
+        access.evidence.invalidate(access.clock.now_ms())
+        assert (await client.execute("WRITE 1 x"))[0].startswith("ERROR INDOUBT")
         for name in ("i-2", "i-3"):
-            world.members[name].fenced_term = 0
+            simulation.members[name].fenced_term = 0
         await wait_until(access.is_current)
-        assert (await client.ask("WRITE 1 x"))[0].startswith("COMPLETE")
+        assert (await client.execute("WRITE 1 x"))[0].startswith("COMPLETE")
 
 
 async def test_a_commit_of_an_earlier_term_is_not_acknowledged() -> None:
     """A suspended node gets the answer of a member that was replaced meanwhile."""
-    async with open_world() as world:
-        access = world.nodes[0].node.find_group(GROUP)
+    async with open_simulation() as simulation:
+        access = simulation.nodes[0].node.find_group(GROUP)
         until_ms = access.clock.now_ms() + 1_000.0
         assert await access.confirm_term("i-1", 1, until_ms)
         assert not await access.confirm_term("i-1", 0, until_ms)
--- a/tests/test_pooler_path.py
+++ b/tests/test_pooler_path.py
@@ -10,56 +10,64 @@
     Client,
     is_closed,
     make_config,
-    open_world,
+    open_simulation,
     wait_until,
 )
 
 
 async def test_every_kind_of_statement_is_served() -> None:
     """A client must get the member's own signature and rows, and a clean state."""
-    async with open_world() as world:
+    async with open_simulation() as simulation:
         for database in ("orders", "status", "receipts"):
-            client = await world.connect(world.nodes[0], database)
-            rows, signed, ready = await client.ask("READ 1a4")
+            client = await simulation.connect(simulation.nodes[0], database)
+            rows, signed, ready = await client.execute("READ 1a4")
             assert rows.startswith("DATAROW i-") and signed.startswith("COMPLETE i-")
             assert ready == "READY I -"
-            assert (await client.ask("WRITE 1a4 boots"))[0].startswith("COMPLETE i-1.")
-            assert await client.ask("SET zone oslo") == ["COMPLETE -", "READY I -"]
-            assert await client.ask("PREPARE s1 WRITE q2c") == [
+            assert (await client.execute("WRITE 1a4 boots"))[0].startswith(
+                "COMPLETE i-1."
+            )
+            assert await client.execute("SET zone oslo") == ["COMPLETE -", "READY I -"]
+            assert await client.execute("PREPARE s1 WRITE q2c") == [
                 "COMPLETE -",
                 "READY I -",
             ]
-            assert (await client.ask("EXECUTE s1 1a4 xy"))[0].startswith("COMPLETE i-1")
-            assert await client.ask("DEALLOC s1") == ["COMPLETE -", "READY I -"]
-            assert (await client.ask("EXECUTE s1 1a4 xy"))[0].startswith("ERROR NOSTMT")
+            assert (await client.execute("EXECUTE s1 1a4 xy"))[0].startswith(
+                "COMPLETE i-1"
+            )
+            assert await client.execute("DEALLOC s1") == ["COMPLETE -", "READY I -"]
+            assert (await client.execute("EXECUTE s1 1a4 xy"))[0].startswith(
+                "ERROR NOSTMT"
+            )
 
 
 async def test_a_transaction_stays_on_one_connection_and_ends_idle() -> None:
     """Statements of a transaction on different connections would lose its writes."""
-    async with open_world() as world:
-        client = await world.connect(world.nodes[0], "orders")
-        assert (await client.ask("BEGIN"))[-1] == "READY T -"
-        assert (await client.ask("WRITE 1a4 boots"))[-1] == "READY T -"
-        assert (await client.ask("READ 1a4"))[-1] == "READY T -"
-        committed = await client.ask("COMMIT")
+    async with open_simulation() as simulation:
+        client = await simulation.connect(simulation.nodes[0], "orders")
+        assert (await client.execute("BEGIN"))[-1] == "READY T -"
+        assert (await client.execute("WRITE 1a4 boots"))[-1] == "READY T -"
+        assert (await client.execute("READ 1a4"))[-1] == "READY T -"
+        committed = await client.execute("COMMIT")
         assert committed[0].startswith("COMPLETE i-1") and committed[1] == "READY I -"
-        assert (await client.ask("BEGIN READ"))[-1] == "READY T -"
-        assert (await client.ask("ROLLBACK")) == ["COMPLETE -", "READY I -"]
+        assert (await client.execute("BEGIN READ"))[-1] == "READY T -"
+        assert (await client.execute("ROLLBACK")) == ["COMPLETE -", "READY I -"]
 
 
 async def test_values_and_prepared_names_do_not_cross_between_clients() -> None:
     """A pooled connection carries the values and names of its earlier users."""
-    async with open_world() as world:
-        first = await world.connect(world.nodes[0], "orders")
-        second = await world.connect(world.nodes[0], "orders")
-        await first.ask("SET lang nb")
-        await first.ask("PREPARE s READ q1")
-        await second.ask("PREPARE s WRITE q2")
-        await first.ask("EXECUTE s 1a4")
-        await second.ask("EXECUTE s 1a4 x")
-        await first.ask("EXECUTE s 1a4")
-        assert world.primary.values_seen == [{"lang": "nb"}, {}, {"lang": "nb"}]
-        assert [text.split(" ")[-3:][0:2] for _, _, text in world.primary.ran][1] == [
+    async with open_simulation() as simulation:
+        first = await simulation.connect(simulation.nodes[0], "orders")
+        second = await simulation.connect(simulation.nodes[0], "orders")
+        await first.execute("SET lang nb")
+        await first.execute("PREPARE s READ q1")
+        await second.execute("PREPARE s WRITE q2")
+        await first.execute("EXECUTE s 1a4")
+        await second.execute("EXECUTE s 1a4 x")
+        await first.execute("EXECUTE s 1a4")
+        assert simulation.primary.values_seen == [{"lang": "nb"}, {}, {"lang": "nb"}]
+        assert [text.split(" ")[-3:][0:2] for _, _, text in simulation.primary.ran][
+            1
+        ] == [
             "w_q2",
             "1a4",
         ]
@@ -67,24 +75,24 @@
 
 async def test_members_learn_the_organisation_and_never_the_key() -> None:
     """A connection of one organisation must not run statements of another."""
-    async with open_world() as world:
-        verksted = await world.connect(world.nodes[0], "orders", KEY)
-        storgata = await world.connect(world.nodes[0], "orders", OTHER_KEY)
-        await verksted.ask("READ 1")
-        await storgata.ask("READ 2")
-        told = {(who, text.split(" ")[-1]) for who, _, text in world.primary.ran}
+    async with open_simulation() as simulation:
+        verksted = await simulation.connect(simulation.nodes[0], "orders", KEY)
+        storgata = await simulation.connect(simulation.nodes[0], "orders", OTHER_KEY)
+        await verksted.execute("READ 1")
+        await storgata.execute("READ 2")
+        told = {(who, text.split(" ")[-1]) for who, _, text in simulation.primary.ran}
         assert told == {("verksted", "1"), ("storgata", "2")}
 
 
 async def test_unknown_databases_and_keys_are_refused() -> None:
     """A refused start must end the connection, and not the node."""
-    async with open_world() as world:
+    async with open_simulation() as simulation:
         for startup, code in (
             (f"STARTUP nowhere {KEY}", "ERROR NODB"),
             ("STARTUP orders wrong", "ERROR NOAUTH"),
             ("STARTUP orders", "ERROR NOAUTH"),
         ):
-            connection = await world.open_connection(world.nodes[0])
+            connection = await simulation.open_connection(simulation.nodes[0])
             connection.write(encode_line(startup))
             assert (await connection.read_line()).startswith(code)
             assert await is_closed(connection)
@@ -92,69 +100,69 @@
 
 async def test_a_database_added_a_moment_ago_is_found_at_once() -> None:
     """Clients ask for a database right after its configuration was accepted."""
-    async with open_world() as world:
+    async with open_simulation() as simulation:
         config = make_config(version=9)
         routes = config["routes"]
         assert isinstance(routes, list)
         routes.append(routes[0] | {"host": "fresh", "name": "r-fresh"})
-        world.store.put("config", "main", config)
-        client = await world.connect(world.nodes[0], "fresh")
-        assert (await client.ask("READ 1"))[-1] == "READY I -"
+        simulation.store.put("config", "main", config)
+        client = await simulation.connect(simulation.nodes[0], "fresh")
+        assert (await client.execute("READ 1"))[-1] == "READY I -"
 
 
 async def test_malformed_input_costs_only_its_own_session() -> None:
     """Words of the member protocol must not pass through to a member."""
-    async with open_world() as world:
-        client = await world.connect(world.nodes[0], "orders")
+    async with open_simulation() as simulation:
+        client = await simulation.connect(simulation.nodes[0], "orders")
         for text in ("SINCE 1.0 READ 1", "STATUS", "PAUSE 9", "DISCARD", "READ", "x"):
-            assert (await client.ask(text))[0].startswith("ERROR MALFORMED")
-        assert (await client.ask("READ 1"))[0].startswith("DATAROW")
-        broken = await world.open_connection(world.nodes[0])
+            assert (await client.execute(text))[0].startswith("ERROR MALFORMED")
+        assert (await client.execute("READ 1"))[0].startswith("DATAROW")
+        broken = await simulation.open_connection(simulation.nodes[0])
         broken.write(b"\xff\xfe\x00garbage\r\n")
         assert await is_closed(broken)
-        huge = await world.open_connection(world.nodes[0])
+        huge = await simulation.open_connection(simulation.nodes[0])
         huge.write(b"x" * 1_100_000)
         assert await is_closed(huge)
-        assert (await client.ask("READ 1"))[0].startswith("DATAROW")
+        assert (await client.execute("READ 1"))[0].startswith("DATAROW")
 
 
 async def test_a_revoked_key_ends_open_sessions() -> None:
     """A withdrawn key must stop working on connections that are already open."""
-    async with open_world() as world:
-        client = await world.connect(world.nodes[0], "orders")
+    async with open_simulation() as simulation:
+        client = await simulation.connect(simulation.nodes[0], "orders")
         config = make_config(version=2)
         tenants = config["tenants"]
         assert isinstance(tenants, list)
         tenants[0]["apiKeys"] = ["another"]
-        world.store.put("config", "main", config)
-        control = world.nodes[0].node.control
+        simulation.store.put("config", "main", config)
+        control = simulation.nodes[0].node.control
         await wait_until(lambda: control.catalog.version == 2)
-        assert (await client.ask("READ 1"))[0].startswith("ERROR NOAUTH")
+        assert (await client.execute("READ 1"))[0].startswith("ERROR NOAUTH")
         assert await is_closed(client.connection)
 
 
 async def test_keys_are_refused_when_the_store_is_out_of_reach() -> None:
     """A node that can't confirm its keys for long must neither serve nor be ready."""
-    async with open_world() as world:
-        node = world.nodes[0].node
-        client = await world.connect(world.nodes[0], "orders")
+    async with open_simulation() as simulation:
+        node = simulation.nodes[0].node
+        client = await simulation.connect(simulation.nodes[0], "orders")
         node.options = type(node.options)(node.options.node, 6_000.0, 500.0)
-        world.store.faults.status = 503
+        simulation.store.faults.status = 503
         await wait_until(lambda: not node.is_ready())
-        assert (await client.ask("READ 1"))[0].startswith("ERROR BUSY")
-        world.store.faults.status = 0
+        assert (await client.execute("READ 1"))[0].startswith("ERROR BUSY")
+        simulation.store.faults.status = 0
         await wait_until(node.is_ready)
 
 
 async def test_entries_of_other_writers_name_no_member() -> None:
     """One entry that can't be read must not hide the others."""
-    async with open_world() as world:
-        world.store.put("servers", "i-bad", {"service": 7, "state": "ready"})
-        world.store.put("servers", "i-text", "not an object")
-        world.store.put("radishtrack", "node.bad", {"name": None})
-        control = world.nodes[0].node.control
-        await wait_until(lambda: control.revision == world.store.revision)
-        assert {member.name for member in control.members} == set(world.members)
-        client: Client = await world.connect(world.nodes[0], "orders")
-        assert (await client.ask("READ 1"))[0].startswith("DATAROW")
-        assert world.nodes[0].node.find_group(GROUP).evidence.term == 1
+    async with open_simulation() as simulation:
+        simulation.store.put("servers", "i-bad", {"service": 7, "state": "ready"})
+        simulation.store.put("servers", "i-text", "not an object")
+        simulation.store.put("radishtrack", "node.bad", {"name": None})
+        control = simulation.nodes[0].node.control
+        await wait_until(lambda: control.revision == simulation.store.revision)
+        assert {member.name for member in control.members} == set(simulation.members)
+        client: Client = await simulation.connect(simulation.nodes[0], "orders")
+        assert (await client.execute("READ 1"))[0].startswith("DATAROW")
+        assert simulation.nodes[0].node.find_group(GROUP).evidence.term == 1
--- a/tests/test_pooler_rates.py
+++ b/tests/test_pooler_rates.py
@@ -12,7 +12,7 @@
 from radishtrack.pooler.node import Node
 from radishtrack.pooler.peers import Peers
 from radishtrack.pooler.ports import StoreUnavailable
-from tests.pooler_world import WAIT_LIMIT_S, World, open_world, wait_until
+from tests.pooler_world import WAIT_LIMIT_S, Simulation, open_simulation, wait_until
 
 SETTLE_S = 4.0
 PAUSE_LIMIT_MS = 1_700.0
@@ -42,10 +42,10 @@
     def others(self) -> tuple[NodeRecord, ...]:
         return self.peers.others()
 
-    async def ask(self, node: NodeRecord, *rest: Any) -> Any:
+    async def send_request(self, node: NodeRecord, *rest: Any) -> Any:
         if self.missing in (node.name, "*"):
             return None
-        return await self.peers.ask(node, *rest)
+        return await self.peers.send_request(node, *rest)
 
 
 async def find_longest_pause(node: Node, is_over: Callable[[], object]) -> float:
@@ -70,50 +70,52 @@
     return max(longest_ms, clock.now_ms() - served_ms)
 
 
-def read_epoch(world: World) -> int:
+def read_epoch(simulation: Simulation) -> int:
     """Return the revision of the record, which each successful claim changes."""
-    stored = world.store.objects["radishtrack", "duty.rates"]
+    stored = simulation.store.objects["radishtrack", "duty.rates"]
     revision: int = stored["meta"]["revision"]
     return revision
 
 
-def find_holder(world: World) -> int:
+def find_holder(simulation: Simulation) -> int:
     return next(
         number
-        for number, running in enumerate(world.nodes)
+        for number, running in enumerate(simulation.nodes)
         if running.node.rates.is_holder()
     )
 
 
 async def test_a_lost_holder_is_replaced_once() -> None:
     """A new holder grants nothing at first; others took the duty from it in turn."""
-    async with open_world(nodes=3) as world:
-        lost = world.nodes.pop(find_holder(world))
+    async with open_simulation(nodes=3) as simulation:
+        lost = simulation.nodes.pop(find_holder(simulation))
         await lost.stop()
-        await wait_until(lambda: any(n.node.rates.is_holder() for n in world.nodes))
-        epoch = read_epoch(world)
+        await wait_until(
+            lambda: any(n.node.rates.is_holder() for n in simulation.nodes)
+        )
+        epoch = read_epoch(simulation)
         await asyncio.sleep(SETTLE_S)
-        assert read_epoch(world) == epoch
-        assert all(n.node.rates.limiter.is_lending for n in world.nodes)
+        assert read_epoch(simulation) == epoch
+        assert all(n.node.rates.limiter.is_lending for n in simulation.nodes)
 
 
 async def test_a_stopping_holder_hands_the_rates_over() -> None:
     """During a rolling restart the rates must not pause with every holder."""
-    async with open_world(nodes=2) as world:
-        number = find_holder(world)
-        world.nodes[number].node.begin_stop()
-        other = world.nodes[1 - number].node.rates
+    async with open_simulation(nodes=2) as simulation:
+        number = find_holder(simulation)
+        simulation.nodes[number].node.begin_stop()
+        other = simulation.nodes[1 - number].node.rates
         await wait_until(other.is_holder, limit_s=2.0)
-        assert not world.nodes[number].node.rates.is_holder()
+        assert not simulation.nodes[number].node.rates.is_holder()
 
 
 async def test_a_node_without_a_holder_uses_its_own_share() -> None:
     """An outage of the store or of the holder must not stop organisations."""
-    async with open_world(nodes=2) as world:
-        number = find_holder(world)
-        remaining = world.nodes[1 - number]
-        world.store.faults.status = 503
-        stopped = world.nodes.pop(number)
+    async with open_simulation(nodes=2) as simulation:
+        number = find_holder(simulation)
+        remaining = simulation.nodes[1 - number]
+        simulation.store.faults.status = 503
+        stopped = simulation.nodes.pop(number)
         await stopped.stop()
         rates = remaining.node.rates
         await wait_until(lambda: rates.limiter.lent_until_ms < rates.clock.now_ms())
@@ -124,9 +126,9 @@
 
 async def test_a_holder_that_loses_the_store_is_replaced_without_a_pause() -> None:
     """Organisations were refused for seconds whenever the holder lost the store."""
-    async with open_world(nodes=3) as world:
-        first = world.nodes[find_holder(world)].node
-        others = [n.node for n in world.nodes if n.node is not first]
+    async with open_simulation(nodes=3) as simulation:
+        first = simulation.nodes[find_holder(simulation)].node
+        others = [n.node for n in simulation.nodes if n.node is not first]
         await wait_until(lambda: all(other.rates.reply > 0 for other in others))
         store, first.control.store = first.control.store, UnreachableStore()
         pause_ms = await find_longest_pause(others[0], lambda: not first.rates.holder)
@@ -137,13 +139,15 @@
 
 async def test_a_killed_holder_is_replaced_after_a_short_pause() -> None:
     """A new holder waited for the lease of the earlier one, about 4 s in all."""
-    async with open_world(nodes=3) as world:
-        lost = world.nodes.pop(find_holder(world))
-        others = [running.node for running in world.nodes]
+    async with open_simulation(nodes=3) as simulation:
+        lost = simulation.nodes.pop(find_holder(simulation))
+        others = [running.node for running in simulation.nodes]
         await wait_until(lambda: all(other.rates.reply > 0 for other in others))
         await lost.stop()
         await wait_until(
-            lambda: all(other.rates.epoch == read_epoch(world) for other in others),
+            lambda: all(
+                other.rates.epoch == read_epoch(simulation) for other in others
+            ),
             limit_s=TAKEOVER_LIMIT_S,
         )
         assert all(other.rates.limiter.is_lending for other in others)
@@ -151,42 +155,42 @@
 
 async def test_a_node_that_alone_misses_the_holder_does_not_replace_it() -> None:
     """A node with a bad network and the holder would take the duty in turn."""
-    async with open_world(nodes=3) as world:
-        epoch = read_epoch(world)
-        number = find_holder(world)
-        holder_name = world.nodes[number].node.options.node.name
-        cut_off = world.nodes[number - 1].node
+    async with open_simulation(nodes=3) as simulation:
+        epoch = read_epoch(simulation)
+        number = find_holder(simulation)
+        holder_name = simulation.nodes[number].node.options.node.name
+        cut_off = simulation.nodes[number - 1].node
         partial = PartialPeers(cut_off.peers, holder_name)
-        cut_off.rates.peers = cut_off.rates.succession.peers = partial  # type: ignore
+        cut_off.rates.peers = cut_off.rates.failover.peers = partial  # type: ignore
         await asyncio.sleep(SETTLE_S)
-        assert read_epoch(world) == epoch
+        assert read_epoch(simulation) == epoch
 
 
 async def test_a_lost_answer_of_a_witness_is_not_taken_for_a_lost_holder() -> None:
     """The only other node answered for seconds that it hears the holder."""
-    async with open_world(nodes=3) as world:
-        number = find_holder(world)
-        holder_name = world.nodes[number].node.options.node.name
-        cut_off = world.nodes[number - 1].node
-        succession = cut_off.rates.succession
+    async with open_simulation(nodes=3) as simulation:
+        number = find_holder(simulation)
+        holder_name = simulation.nodes[number].node.options.node.name
+        cut_off = simulation.nodes[number - 1].node
+        failover = cut_off.rates.failover
         partial = PartialPeers(cut_off.peers, holder_name)
-        succession.peers = partial  # type: ignore[assignment]
+        failover.peers = partial  # type: ignore[assignment]
         long_ago_ms = cut_off.clock.now_ms() - 10_000.0
-        assert not await succession.is_agreed(long_ago_ms)
+        assert not await failover.is_loss_confirmed(long_ago_ms)
         partial.missing = "*"
-        assert not await succession.is_agreed(long_ago_ms)
-        succession.witnessed_ms -= 3_000.0
-        assert await succession.is_agreed(long_ago_ms)
+        assert not await failover.is_loss_confirmed(long_ago_ms)
+        failover.probe_confirmed_ms -= 3_000.0
+        assert await failover.is_loss_confirmed(long_ago_ms)
 
 
 async def test_shares_are_returned_to_a_node_that_changes_the_holder() -> None:
     """Without an answer it has to wait until its promise ends."""
-    async with open_world(nodes=2) as world:
-        number = find_holder(world)
-        holder, other = world.nodes[number].node, world.nodes[1 - number].node
+    async with open_simulation(nodes=2) as simulation:
+        number = find_holder(simulation)
+        holder, other = simulation.nodes[number].node, simulation.nodes[1 - number].node
         await wait_until(lambda: other.rates.reply > 0)
         # Its own next exchange would lend the shares again.
-        task = world.nodes[1 - number].task
+        task = simulation.nodes[1 - number].task
         task.cancel()
         await asyncio.wait((task,))
         limiter = other.rates.limiter
@@ -199,18 +203,18 @@
 
 async def test_the_share_of_a_node_that_is_gone_goes_to_the_others() -> None:
     """A replaced VM would otherwise keep its part of every rate for good."""
-    async with open_world(nodes=3) as world:
-        gone = world.nodes.pop(0 if find_holder(world) else 1)
+    async with open_simulation(nodes=3) as simulation:
+        gone = simulation.nodes.pop(0 if find_holder(simulation) else 1)
         name = gone.node.options.node.name
         await gone.stop()
         await wait_until(
-            lambda: ("radishtrack", f"node.{name}") not in world.store.objects
+            lambda: ("radishtrack", f"node.{name}") not in simulation.store.objects
         )
-        control = world.nodes[0].node.control
+        control = simulation.nodes[0].node.control
         await wait_until(lambda: len(control.registered) == 2)
         # It may not know yet, so nobody uses its share at once.
         assert len(control.nodes) == 3
-        await wait_until(lambda: world.nodes[0].node.applied_nodes == 2)
+        await wait_until(lambda: simulation.nodes[0].node.applied_nodes == 2)
 
 
 async def test_a_holder_that_was_out_of_touch_removes_nobody() -> None:
@@ -218,8 +222,8 @@
 
     In an incident a deposed holder removed the records of two nodes that served.
     """
-    async with open_world(nodes=2) as world:
-        holder = world.nodes[find_holder(world)].node
+    async with open_simulation(nodes=2) as simulation:
+        holder = simulation.nodes[find_holder(simulation)].node
         rates, control = holder.rates, holder.control
         assert rates.holder is not None
         rates.holder.since_ms = holder.clock.now_ms() - 10_000.0
@@ -231,7 +235,9 @@
 
 async def test_a_node_whose_record_was_removed_registers_again() -> None:
     """The holder may have lost only its own path to that node."""
-    async with open_world(nodes=2) as world:
-        world.store.remove("radishtrack", "node.edge-2")
-        await wait_until(lambda: ("radishtrack", "node.edge-2") in world.store.objects)
-        assert len(world.nodes[0].node.control.nodes) == 2
+    async with open_simulation(nodes=2) as simulation:
+        simulation.store.remove("radishtrack", "node.edge-2")
+        await wait_until(
+            lambda: ("radishtrack", "node.edge-2") in simulation.store.objects
+        )
+        assert len(simulation.nodes[0].node.control.nodes) == 2
--- a/tests/test_pooler_request_log.py
+++ b/tests/test_pooler_request_log.py
@@ -11,7 +11,7 @@
 from radishtrack.events import use_json_lines
 from radishtrack.log_output import LineFormatter, NonBlockingHandler
 from radishtrack.pooler.request_log import REFUSED_LINES_PER_S
-from tests.pooler_world import open_world, wait_until
+from tests.pooler_world import open_simulation, wait_until
 
 
 async def test_refusals_are_logged_up_to_a_limit_and_counted_beyond(
@@ -19,16 +19,16 @@
 ) -> None:
     """An overload must not turn into a flood of lines."""
     caplog.set_level("INFO", logger="absl")
-    async with open_world() as world:
-        client = await world.connect(world.nodes[0], "orders")
-        for member in world.members.values():
+    async with open_simulation() as simulation:
+        client = await simulation.connect(simulation.nodes[0], "orders")
+        for member in simulation.members.values():
             await member.stop()
-        log = world.nodes[0].node.log
+        log = simulation.nodes[0].node.log
         log.refused_lines = REFUSED_LINES_PER_S
-        assert (await client.ask("WRITE 1 x"))[0].startswith("ERROR")
+        assert (await client.execute("WRITE 1 x"))[0].startswith("ERROR")
         assert "id=q1" not in caplog.text
         await wait_until(lambda: "lines suppressed" in caplog.text)
-        assert (await client.ask("WRITE 1 x"))[0].startswith("ERROR")
+        assert (await client.execute("WRITE 1 x"))[0].startswith("ERROR")
         assert "id=q2" in caplog.text
 
 
@@ -37,12 +37,12 @@
 ) -> None:
     """An engineer has the identifier and the log, and nothing else."""
     caplog.set_level("INFO", logger="absl")
-    async with open_world() as world:
-        client = await world.connect(world.nodes[0], "orders")
-        world.primary.faults.lose_answers = 1
+    async with open_simulation() as simulation:
+        client = await simulation.connect(simulation.nodes[0], "orders")
+        simulation.primary.faults.lose_answers = 1
         use_json_lines(True)
         try:
-            await client.ask("WRITE 1 x")
+            await client.execute("WRITE 1 x")
         finally:
             use_json_lines(False)
         messages = [r.getMessage() for r in caplog.records]
--- a/tests/test_pooler_stop.py
+++ b/tests/test_pooler_stop.py
@@ -6,7 +6,7 @@
 
 from radishtrack.platform.main import stop_node
 from radishtrack.pooler.readiness import make_stop_plan
-from tests.pooler_world import is_closed, open_world
+from tests.pooler_world import is_closed, open_simulation
 
 
 def test_the_stop_fits_into_the_grace_period() -> None:
@@ -16,20 +16,20 @@
 
 async def test_idle_sessions_end_and_transactions_finish() -> None:
     """The balancer still sends connections until it has missed two probes."""
-    async with open_world() as world:
-        running = world.nodes[0]
-        idle = await world.connect(running, "orders")
-        working = await world.connect(running, "orders")
-        await working.ask("BEGIN")
-        await working.ask("WRITE 1 x")
+    async with open_simulation() as simulation:
+        running = simulation.nodes[0]
+        idle = await simulation.connect(running, "orders")
+        working = await simulation.connect(running, "orders")
+        await working.execute("BEGIN")
+        await working.execute("WRITE 1 x")
         stopping = asyncio.create_task(stop_node(running.node, running.frontend))
         await asyncio.sleep(0.2)
         assert not running.node.is_ready()
-        late = await world.connect(running, "orders")
-        assert (await late.ask("READ 1"))[0].startswith("DATAROW")
+        late = await simulation.connect(running, "orders")
+        assert (await late.execute("READ 1"))[0].startswith("DATAROW")
         assert await is_closed(idle.connection)
-        assert (await working.ask("READ 1"))[-1] == "READY T -"
-        assert (await working.ask("COMMIT"))[0].startswith("COMPLETE")
+        assert (await working.execute("READ 1"))[-1] == "READY T -"
+        assert (await working.execute("COMMIT"))[0].startswith("COMPLETE")
         assert await is_closed(working.connection)
         await stopping
-        assert world.primary.received == 1
+        assert simulation.primary.received == 1
