--- a/src/radishtrack/pooler/catalog.py
+++ b/src/radishtrack/pooler/catalog.py
@@ -1,4 +1,4 @@
-"""What a node knows of the operators' configuration, the members and the nodes."""
+"""Records of the operators' configuration, the members and the nodes."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
     STRICT = "strict"
     """Contains every acknowledged commit."""
     SESSION = "session"
-    """Contains the session's own commits, and all others of a stated age."""
+    """Contains the session's own commits, and all others older than a stated age."""
     AGED = "aged"
-    """Contains all commits of a stated age."""
+    """Contains all commits older than a stated age."""
 
 
 @attrs.frozen
 class Route:
-    """Where the statements of one database name go.
+    """Maps a database name to a group, with the rules for its statements.
 
     Parameters
     ----------
@@ -37,7 +37,7 @@
     max_age_ms : float
         For `SESSION` and `AGED`: age in milliseconds from which commits must show.
     statement_timeout_ms : float
-        Limit of one statement.
+        Time limit of one statement.
     objective_ms : float
         Latency objective of a whole operation.
     priority : int
@@ -63,11 +63,11 @@
     Parameters
     ----------
     name : str
-        Name that members are told.
+        Name that is sent to members.
     rate_per_s : float
         Operations a second, over all nodes.
     burst : float
-        Operations beyond the rate that may come at once.
+        Operations that may arrive at once beyond the rate.
     """
 
     name: str
@@ -86,7 +86,7 @@
     max_connections : int
         Connections that one member accepts from all nodes together.
     synchronous_replicas : int
-        Replicas that have received a commit when it is acknowledged.
+        Number of replicas that must receive a commit before it is acknowledged.
     """
 
     name: str
@@ -111,7 +111,7 @@
     groups : mapping
         Group settings by name.
     idle_transaction_ms : float
-        A transaction that is idle for longer may be ended.
+        Idle time in milliseconds after which a transaction may be rolled back.
     """
 
     version: int
@@ -129,7 +129,7 @@
     Parameters
     ----------
     name : str
-        Unique identifier; addresses are used again by others.
+        Unique identifier; addresses can be reused by other members.
     group : str
         Database group.
     host, port : str, int
@@ -141,7 +141,7 @@
     is_leaving : bool
         Whether it is about to stop.
     role : Role
-        The role that it believes it has.
+        Role that its entry states.
     started_ms : int
         Unix time of its start; differs after a restart under the same name.
     """
@@ -187,14 +187,14 @@
     Parameters
     ----------
     lag_ms : float
-        How far it is behind in applying, in milliseconds.
+        Delay in milliseconds with which it applies its log.
     """
 
     lag_ms: float
 
 
 def digest_key(key: str) -> bytes:
-    """Return the digest under which a key is looked up; keys are not kept."""
+    """Return the digest by which a key is looked up; keys themselves are not stored."""
     return hashlib.sha256(key.encode()).digest()
 
 
--- a/src/radishtrack/pooler/evidence.py
+++ b/src/radishtrack/pooler/evidence.py
@@ -1,9 +1,10 @@
-"""Evidence of who leads a database group, and of what its logs contain.
+"""Evidence of which member is a group's primary and of what its members' logs contain.
 
-A promotion first fences `n - s` of the group's n members (s: synchronous replicas),
-and orders the promotion only when that has lasted for `BELIEF_MS`. Reports of `s + 1`,
-at least 2, unfenced members therefore prove that no later term acknowledges a commit
-before the oldest of these reports is `BELIEF_MS` old: the two sets share a member.
+A promotion first fences `n - s` of the group's n members (s: synchronous replicas)
+and is ordered only after the fence has lasted for `EVIDENCE_VALID_MS`. Reports of
+`s + 1`, at least 2, unfenced members therefore prove that no later term acknowledges a
+commit before the oldest of these reports is `EVIDENCE_VALID_MS` old: the two sets share
+a member.
 """
 
 from __future__ import annotations
@@ -18,14 +19,14 @@
 from radishtrack.pooler.catalog import MemberReport
 from radishtrack.session.position import Position
 
-BELIEF_MS: Final = 2_000.0
-"""How long evidence of a term holds. Two polls fit in, so that one lost poll does not
-interrupt strict reads. A promotion waits as long if a node does not answer, which the
-7 s for a change of primary leave room for."""
+EVIDENCE_VALID_MS: Final = 2_000.0
+"""Time for which evidence of a term is valid. It covers two polls, so that one lost
+poll does not interrupt strict reads. A promotion waits this long if a node does not
+respond, which fits into the 7 s for a change of primary."""
 SAMPLE_KEEP_MS: Final = 10_000.0
-"""Samples older than the largest age that a route is likely to accept are dropped."""
+"""Age at which samples are dropped; routes are unlikely to accept a larger age."""
 SAMPLE_SPACING_MS: Final = 50.0
-"""Positions of answers are kept at this spacing, which bounds the list."""
+"""Smallest interval between two samples; it bounds their number."""
 
 
 @attrs.frozen
@@ -37,7 +38,7 @@
     position : Position
         End of the log.
     at_ms : float
-        Every commit acknowledged earlier is contained.
+        The position contains every commit acknowledged before this time.
     """
 
     position: Position
@@ -46,84 +47,91 @@
 
 @attrs.frozen
 class Observation:
-    """A member's report and when it was asked for."""
+    """A member's report and the time at which it was requested."""
 
     report: MemberReport
-    asked_ms: float
+    requested_ms: float
 
 
 @attrs.define
 class GroupEvidence:
-    """What one node knows of a group; `observe_report` feeds it.
+    """Evidence that one node has of a group, collected by `observe_report`.
 
     Parameters
     ----------
     name : str
         Name of the group.
     synchronous_replicas : int
-        Replicas that have received a commit when it is acknowledged.
+        Number of replicas that must receive a commit before it is acknowledged.
     """
 
     name: str
     synchronous_replicas: int = 1
     members: frozenset[str] = frozenset()
-    """Names of all members that the store lists, leaving ones included."""
+    """Names of all members, including leaving ones and unlisted ones still in use."""
     observations: dict[str, Observation] = attrs.field(factory=dict)
     samples: deque[Sample] = attrs.field(factory=deque)
-    most_members: int = 0
-    """Largest number of members in the present term; entries can lapse."""
+    max_members: int = 0
+    """Largest number of members seen in the current term, since entries can expire."""
     term: int = 0
     primary: str = ""
     applied: dict[str, Position] = attrs.field(factory=dict)
-    """How far each member has applied its log, which is what its reads see."""
+    """Position up to which each member has applied its log; reads see this state."""
     announced_term: int = 0
-    """Term of the newest promotion that any node has announced in the store."""
-    evidence_from_ms: float = 0.0
-    """Reports that were asked for earlier do not prove the term any more."""
+    """Term of the newest promotion announced in the store by any node."""
+    valid_from_ms: float = 0.0
+    """Reports requested before this time no longer prove the term."""
     incomplete: dict[str, Position] = attrs.field(factory=dict)
-    """Members that lost their log, with the position from which they count again."""
+    """Members that lost their log, with the position at which they count again."""
 
     def set_members(self, names: frozenset[str]) -> None:
-        """Replace the list of members; reports of others no longer count."""
+        """Replace the list of members and discard the reports of others."""
         self.members = names
-        self.most_members = max(self.most_members, len(names))
+        self.max_members = max(self.max_members, len(names))
         for name in set(self.observations) - names:
-            self.forget(name)
+            self.discard_member(name)
 
-    def forget(self, member: str) -> None:
-        """Drop what is known of a member, because it restarted or left."""
+    def discard_member(self, member: str) -> None:
+        """Discard a member's report and applied position after a restart or removal."""
         self.observations.pop(member, None)
         self.applied.pop(member, None)
 
     def observe_report(
-        self, report: MemberReport, asked_ms: float, now_ms: float
+        self, report: MemberReport, requested_ms: float, now_ms: float
     ) -> bool:
-        """Take in a member's report; return whether the primary or term changed.
+        """Add a member's report; return whether the primary or term changed.
 
         Parameters
         ----------
         report : MemberReport
             The report.
-        asked_ms : float
-            When it was asked for; the report is at least as new.
+        requested_ms : float
+            Time of the request; the report is at least as recent.
         now_ms : float
-            Present time in milliseconds.
+            Current time in milliseconds.
         """
-        known = self.observations.get(report.member)
-        if known is not None and known.asked_ms > asked_ms:
+        previous = self.observations.get(report.member)
+        if previous is not None and previous.requested_ms > requested_ms:
             return False
-        self._check_log(known, report)
-        self.observations[report.member] = Observation(report, asked_ms)
+        self._check_log(previous, report)
+        self.observations[report.member] = Observation(report, requested_ms)
         changed = self._follow_term(report, now_ms)
-        # The report that completes the evidence also proves the primary's earlier one.
-        lead = self.observations.get(self.primary)
-        if lead is not None and lead.report.role is Role.PRIMARY:
-            self.observe_position(self.primary, lead.report.position, lead.asked_ms)
+        # A report that completes the evidence also proves the primary's earlier report.
+        primary_observation = self.observations.get(self.primary)
+        if (
+            primary_observation is not None
+            and primary_observation.report.role is Role.PRIMARY
+        ):
+            self.observe_position(
+                self.primary,
+                primary_observation.report.position,
+                primary_observation.requested_ms,
+            )
         self._sample_replicas()
         return changed
 
     def observe_position(self, member: str, position: Position, at_ms: float) -> None:
-        """Take in the position of an answer that was asked for at `at_ms`."""
+        """Record a member's position from a response requested at `at_ms`."""
         self.applied[member] = max(position, self.applied.get(member, position))
         if member != self.primary or position.term > self.term:
             return
@@ -132,40 +140,40 @@
 
     def valid_until_ms(self) -> float:
         """Return the time before which no later term acknowledges a commit."""
-        asked = sorted(
+        request_times_ms = sorted(
             (
-                observation.asked_ms
+                observation.requested_ms
                 for observation in self.observations.values()
                 if self._is_unfenced(observation.report)
-                and observation.asked_ms >= self.evidence_from_ms
+                and observation.requested_ms >= self.valid_from_ms
             ),
             reverse=True,
         )
-        # Also without synchronous replicas, one replica has to speak for the others: a
-        # promotion fences all of them and may not reach the old primary.
+        # One replica's report is needed even without synchronous replicas: a promotion
+        # fences all replicas but may not reach the old primary.
         needed = min(len(self.members), max(1, self.synchronous_replicas) + 1)
         if self.announced_term > self.term:
-            # The promotion may have succeeded, and its members may be in use again.
+            # The promotion may have succeeded and its members been unfenced since.
             needed = max(needed, len(self.members))
-        if not self.primary or not needed or len(asked) < needed:
+        if not self.primary or not needed or len(request_times_ms) < needed:
             return 0.0
-        return asked[needed - 1] + BELIEF_MS
+        return request_times_ms[needed - 1] + EVIDENCE_VALID_MS
 
     def is_current(self, now_ms: float) -> bool:
-        """Tell whether the primary is certainly the present one."""
+        """Return whether evidence proves that the term's primary is still current."""
         return now_ms < self.valid_until_ms()
 
     def invalidate(self, now_ms: float) -> None:
-        """Let no report that was asked for before now prove the term."""
-        self.evidence_from_ms = max(self.evidence_from_ms, now_ms)
+        """Invalidate the evidence from all reports requested before now."""
+        self.valid_from_ms = max(self.valid_from_ms, now_ms)
 
     def find_min_position(self, max_age_ms: float, now_ms: float) -> Position | None:
-        """Return the lowest known position that has all commits older than an age.
+        """Return the lowest sampled position with all commits older than an age.
 
         Returns
         -------
         Position or None
-            None if there is no evidence that is young enough.
+            None if no sample is recent enough.
         """
         oldest = bisect.bisect_left(
             self.samples, now_ms - max_age_ms, key=lambda sample: sample.at_ms
@@ -173,7 +181,7 @@
         return self.samples[oldest].position if oldest < len(self.samples) else None
 
     def has_applied(self, member: str, min_position: Position) -> bool:
-        """Tell whether a member is known to have applied a position."""
+        """Return whether a member has been observed to have applied a position."""
         applied = self.applied.get(member)
         return applied is not None and applied >= min_position
 
@@ -187,7 +195,7 @@
         return observation.report if observation else None
 
     def fenced_members(self) -> tuple[str, ...]:
-        """Return the members that wait for a promotion of a later term."""
+        """Return the members that are fenced for a later term."""
         return tuple(
             name
             for name, observation in self.observations.items()
@@ -196,28 +204,29 @@
         )
 
     def _is_unfenced(self, report: MemberReport) -> bool:
-        """Tell whether a member has not been fenced for a later term.
+        """Return whether a member's report shows no fence for a later term.
 
-        A replica that receives nothing may not have heard of the present term; a member
-        that still leads an earlier one belongs to no later promotion.
+        A replica that receives nothing may not have learned the current term, so its
+        earlier term still counts. A primary of an earlier term does not: it takes no
+        part in a later promotion.
         """
         if report.term > self.term or report.fenced_term > self.term:
             return False
         return report.term == self.term or report.role is Role.REPLICA
 
-    def _check_log(self, known: Observation | None, report: MemberReport) -> None:
-        """Notice a member that restarted without its log.
+    def _check_log(self, previous: Observation | None, report: MemberReport) -> None:
+        """Mark a member as incomplete if it restarted without its log.
 
-        It may have been the only replica that received an acknowledged commit, so it
-        proves nothing until it has what the group had then.
+        It may have been the only replica that received an acknowledged commit, so its
+        reports do not count until it reaches the group's position at that time.
         """
         if (
-            known is not None
-            and report.term == known.report.term
-            and report.position < known.report.position
+            previous is not None
+            and report.term == previous.report.term
+            and report.position < previous.report.position
         ):
-            latest = self.latest_position() or known.report.position
-            self.incomplete[report.member] = max(latest, known.report.position)
+            latest = self.latest_position() or previous.report.position
+            self.incomplete[report.member] = max(latest, previous.report.position)
             self.applied.pop(report.member, None)
         target = self.incomplete.get(report.member)
         if target is not None and report.position >= target:
@@ -226,33 +235,34 @@
     def _follow_term(self, report: MemberReport, now_ms: float) -> bool:
         if report.term < self.term:
             return False
-        leads = report.role is Role.PRIMARY
+        is_primary = report.role is Role.PRIMARY
         if report.term == self.term:
-            if leads and self.primary != report.member:
+            if is_primary and self.primary != report.member:
                 self.primary = report.member
                 return True
-            if not leads and self.primary == report.member:
+            if not is_primary and self.primary == report.member:
                 self.primary = ""
                 return True
             return False
         self.term = report.term
-        self.primary = report.member if leads else ""
-        # A later term may lack what the earlier primary had not replicated, so its
-        # positions can't be asked for any more.
+        self.primary = report.member if is_primary else ""
+        # A later term may lack commits that the earlier primary had not replicated, so
+        # positions of the earlier term can no longer be required.
         self.samples.clear()
-        self.most_members = len(self.members)
+        self.max_members = len(self.members)
         return True
 
     def _sample_replicas(self) -> None:
         """Add a sample from the replicas alone.
 
-        Every acknowledged commit has reached one of any `n - s` members, so the
-        furthest of so many contains all that was acknowledged before they were asked.
-        This fails if members were replaced by new ones with less of the log, or if
-        some are not known, so the result may not lie before a position that was proven
-        by the primary in this term.
+        Every acknowledged commit has reached at least one of any `n - s` members, so
+        the most advanced position among `n - s` reports contains all commits
+        acknowledged before they were requested. That does not hold if members were
+        replaced by new ones with less of the log, or if some are unknown. Therefore the
+        primary must have proven a position in this term, and the position from the
+        replicas may not be below the latest sample.
         """
-        needed = self.most_members - self.synchronous_replicas
+        needed = self.max_members - self.synchronous_replicas
         in_term = [
             observation
             for observation in self.observations.values()
@@ -261,18 +271,18 @@
         ]
         if needed < 1 or len(in_term) < needed or self.announced_term > self.term:
             return
-        in_term.sort(key=lambda observation: observation.asked_ms, reverse=True)
+        in_term.sort(key=lambda observation: observation.requested_ms, reverse=True)
         newest = in_term[:needed]
         position = max(observation.report.position for observation in newest)
         latest = self.latest_position()
         if latest is not None and position >= latest:
-            self._add_sample(Sample(position, newest[-1].asked_ms))
+            self._add_sample(Sample(position, newest[-1].requested_ms))
 
     def _add_sample(self, sample: Sample) -> None:
         if self.samples and sample.at_ms < self.samples[-1].at_ms + SAMPLE_SPACING_MS:
             return
-        # A newer sample with a lower or equal position serves every request that an
-        # older one serves.
+        # A newer sample with a lower or equal position replaces older ones: it meets
+        # every age that they meet.
         while self.samples and self.samples[-1].position >= sample.position:
             self.samples.pop()
         self.samples.append(sample)
--- a/src/radishtrack/pooler/group_access.py
+++ b/src/radishtrack/pooler/group_access.py
@@ -1,4 +1,4 @@
-"""One database group as a node uses it: its members' connections and the evidence."""
+"""A node's access to one database group: connections to members, and evidence."""
 
 from __future__ import annotations
 
@@ -11,36 +11,45 @@
 from radishtrack.clock import Clock
 from radishtrack.group.status import Role
 from radishtrack.pooler.catalog import GroupSettings, Member, ReadClass, Route
-from radishtrack.pooler.choice import Candidate, rank_candidates
-from radishtrack.pooler.evidence import BELIEF_MS, GroupEvidence
+from radishtrack.pooler.evidence import EVIDENCE_VALID_MS, GroupEvidence
 from radishtrack.pooler.member_pool import MemberPool, make_member_pool
+from radishtrack.pooler.member_ranking import Candidate, rank_candidates
 from radishtrack.pooler.ports import OpenLink
 from radishtrack.session.position import Position
 
 MIN_CONNECTIONS: Final = 1
-"""Connections that a node may use at a member even if its share is smaller."""
+"""Connections to a member that a node may use even if its share is smaller."""
 MAX_USEFUL_LAG_MS: Final = 250.0
-"""A replica that reports more lag is asked last for positions that it has not been seen
-to have; the usual lag is some tens of milliseconds."""
-RESERVED_CONNECTIONS: Final = 0.25
-"""Part of a member's connections that nobody uses. Members keep the connections of
-nodes that lost power for 3 s, and the nodes that start again need some meanwhile."""
+"""Lag above which a replica is tried last for positions that it is not known to have
+applied; the usual lag is some tens of milliseconds."""
+RESERVED_FRACTION: Final = 0.25
+"""Fraction of a member's connections that is kept free. Members keep the connections of
+nodes that lost power for 3 s, and restarted nodes need connections in that time."""
 LEAVING_USE_MS: Final = 4_500.0
-"""How long the primary is used after it was seen to be leaving or unlisted. Members may
-get no new work 7 s after the store knows, which this node learns up to 1.6 s later."""
-UNKNOWN_LIMIT: Final = 4
-"""Connections a member while the group's settings are not known."""
+"""Time for which a member is used after this node learned that it is leaving or
+unlisted. It may get no new work 7 s after the store's entry changes, and this node
+learns of the change up to 1.6 s later."""
+DEFAULT_CONNECTION_LIMIT: Final = 4
+"""Connections for each member until the group's settings are known."""
 
 
 @attrs.frozen
 class ReadPlan:
-    """Where a read may run and what the member's log must contain."""
+    """Members that may run a read, in order, and the position that they must have.
+
+    Parameters
+    ----------
+    members : tuple of str
+        Names of the members.
+    min_position : Position or None
+        Position that the member's log must contain.
+    """
 
     members: tuple[str, ...]
     min_position: Position | None
 
 
-def _assume_known(_max_age_ms: float) -> bool:
+def _assume_announced(_max_age_ms: float) -> bool:
     return True
 
 
@@ -59,7 +68,7 @@
     open_link : callable
         Opens a connection to a member.
     evidence : GroupEvidence
-        Who leads and which positions are current.
+        Evidence of the primary and of the current positions.
     """
 
     name: str
@@ -67,20 +76,21 @@
     clock: Clock
     open_link: OpenLink
     evidence: GroupEvidence
-    has_all_announcements: Callable[[float], bool] = _assume_known
-    """Whether no promotion of this age can be unknown to this node."""
+    has_all_announcements: Callable[[float], bool] = _assume_announced
+    """Returns whether no promotion announced longer ago than an age can be unknown to
+    this node; see `Control.has_all_announcements`."""
     settings: GroupSettings | None = None
     nodes: int = 1
-    """Nodes that share the members' connections."""
+    """Number of nodes that share the members' connections."""
     pools: dict[str, MemberPool] = attrs.field(factory=dict)
     unlisted_ms: dict[str, float] = attrs.field(factory=dict)
-    """Members that the store no longer lists, since when."""
+    """When members that the store no longer lists became unlisted, by name."""
     leaving_ms: dict[str, float] = attrs.field(factory=dict)
-    """Members that are leaving, since when this node knows."""
+    """When this node learned that members are leaving, by name."""
     changed: asyncio.Event = attrs.field(factory=asyncio.Event)
-    """Set for a moment whenever a report arrives."""
-    poll_wanted: asyncio.Event = attrs.field(factory=asyncio.Event)
-    """Set for a moment when a report is needed sooner than the next poll."""
+    """Set and replaced whenever a report arrives."""
+    poll_requested: asyncio.Event = attrs.field(factory=asyncio.Event)
+    """Set and replaced when a report is needed before the next poll."""
 
     def configure(self, settings: GroupSettings, nodes: int) -> None:
         """Apply the group's settings and the number of nodes."""
@@ -107,13 +117,15 @@
 
     def expire_members(self, before_ms: float) -> tuple[str, ...]:
         """Remove the members that have been unlisted since `before_ms`."""
-        gone = tuple(name for name, at in self.unlisted_ms.items() if at <= before_ms)
-        for name in gone:
+        expired = tuple(
+            name for name, at in self.unlisted_ms.items() if at <= before_ms
+        )
+        for name in expired:
             self.remove_member(name)
-        return gone
+        return expired
 
     def remove_member(self, name: str) -> None:
-        """Close a member's connections and forget it."""
+        """Close a member's connections and remove it."""
         del self.unlisted_ms[name]
         self.leaving_ms.pop(name, None)
         self.pools.pop(name).drop_all()
@@ -121,18 +133,18 @@
 
     @property
     def primary_pool(self) -> MemberPool | None:
-        """The pool of the member that leads, as far as this node knows."""
+        """Pool of the primary, by this node's evidence."""
         return self.pools.get(self.evidence.primary)
 
     def usable_primary(self) -> MemberPool | None:
-        """Return the primary's pool if statements of clients may go there."""
+        """Return the primary's pool if it may run statements of clients."""
         pool = self.primary_pool
         if pool is None or not pool.is_reachable:
             return None
         return pool if self.may_use(pool.member.name) else None
 
     def may_use(self, name: str) -> bool:
-        """Tell whether a member has not been leaving or unlisted for too long."""
+        """Return whether a member may still be used, even if leaving or unlisted."""
         since_ms = min(
             self.leaving_ms.get(name, float("inf")),
             self.unlisted_ms.get(name, float("inf")),
@@ -140,35 +152,38 @@
         return self.clock.now_ms() - since_ms < LEAVING_USE_MS
 
     def may_send_commit(self) -> bool:
-        """Tell whether a commit may be sent to the primary.
+        """Return whether a commit may be sent to the primary.
 
-        Without synchronous replicas a replaced primary acknowledges alone, so there has
-        to be evidence before; in any case there has to be some after.
+        Without synchronous replicas, a replaced primary acknowledges commits alone, so
+        the commit needs evidence of the term before it is sent. In any case it needs
+        evidence afterwards; see `confirm_term`.
         """
         return self.evidence.synchronous_replicas > 0 or self.is_current()
 
     async def confirm_term(self, member: str, term: int, until_ms: float) -> bool:
-        """Tell whether a member certainly still leads a term; waits for evidence.
+        """Wait for evidence; return whether a member is still the primary of a term.
 
-        A replaced primary can go on acknowledging together with a replica that the
-        store no longer lists, which the promotion has therefore not fenced.
+        A replaced primary can still acknowledge commits together with a replica that
+        the store no longer lists and that the promotion has therefore not fenced.
         """
 
-        def leads() -> bool:
+        def is_still_primary() -> bool:
             return self.evidence.primary == member and self.evidence.term == term
 
         return (
-            await self.wait_for(lambda: self.is_current() or not leads(), until_ms)
-            and leads()
+            await self.wait_for(
+                lambda: self.is_current() or not is_still_primary(), until_ms
+            )
+            and is_still_primary()
         )
 
     def is_current(self) -> bool:
-        """Tell whether the primary is certainly the present one."""
+        """Return whether evidence proves that the primary is still current."""
         is_current = self.evidence.is_current(self.clock.now_ms())
-        return is_current and self.has_all_announcements(BELIEF_MS)
+        return is_current and self.has_all_announcements(EVIDENCE_VALID_MS)
 
     def presumed_primary(self) -> str:
-        """Return the primary, or else the member that the store lists as such."""
+        """Return the primary by evidence, or else the one that the store lists."""
         if self.evidence.primary:
             return self.evidence.primary
         listed = (
@@ -181,15 +196,15 @@
     def plan_read(
         self, route: Route, session_position: Position | None, organisation: str
     ) -> ReadPlan | None:
-        """Return where a read may run now; None without evidence that is new enough."""
+        """Return where a read may run, or None if no evidence is recent enough."""
         now_ms = self.clock.now_ms()
         if route.read_class is ReadClass.STRICT:
-            return self._plan_current(now_ms)
+            return self._plan_at_primary(now_ms)
         if self._is_superseded(session_position):
-            # A later primary has every acknowledged commit, but may lack unrelated
-            # ones that the position counts.
-            return self._plan_current(now_ms)
-        min_position = self._find_floor(route, session_position, now_ms)
+            # A later primary has every acknowledged commit, but may lack
+            # unacknowledged commits of others that the position includes.
+            return self._plan_at_primary(now_ms)
+        min_position = self._find_min_position(route, session_position, now_ms)
         if min_position is None:
             return None
         members = rank_candidates(self._candidates(organisation, min_position))
@@ -198,13 +213,19 @@
     def plan_primary(
         self, route: Route, session_position: Position | None
     ) -> ReadPlan | None:
-        """Return how a transaction that may write starts, like `plan_read`."""
+        """Return the plan for the start of a transaction that may write.
+
+        Returns
+        -------
+        ReadPlan or None
+            None if no evidence is recent enough.
+        """
         now_ms = self.clock.now_ms()
         if self.is_current() or self._is_superseded(session_position):
-            return self._plan_current(now_ms)
+            return self._plan_at_primary(now_ms)
         if route.read_class is ReadClass.STRICT or self.primary_pool is None:
             return None
-        min_position = self._find_floor(route, session_position, now_ms)
+        min_position = self._find_min_position(route, session_position, now_ms)
         return (
             ReadPlan((self.evidence.primary,), min_position)
             if min_position is not None
@@ -212,7 +233,7 @@
         )
 
     async def wait_for(self, is_met: Callable[[], bool], until_ms: float) -> bool:
-        """Ask for new reports until a condition holds; return whether it does."""
+        """Request polls until a condition holds or time is up; return if it holds."""
         while not is_met():
             remaining_ms = until_ms - self.clock.now_ms()
             if remaining_ms <= 0:
@@ -226,41 +247,43 @@
         return True
 
     async def await_plan(
-        self, find: Callable[[], ReadPlan | None], until_ms: float
+        self, find_plan: Callable[[], ReadPlan | None], until_ms: float
     ) -> ReadPlan | None:
-        """Return a plan as soon as there is evidence for one; None if there is not.
+        """Return a plan as soon as there is evidence for one; None if time is up.
 
         Parameters
         ----------
-        find : callable
-            Returns the plan by the present evidence, or None.
+        find_plan : callable
+            Returns the plan by the current evidence, or None.
         until_ms : float
-            Latest time.
+            Time until which to wait.
         """
-        found = find()
-        if found is None and await self.wait_for(lambda: find() is not None, until_ms):
-            found = find()
-        return found
+        plan = find_plan()
+        if plan is None and await self.wait_for(
+            lambda: find_plan() is not None, until_ms
+        ):
+            plan = find_plan()
+        return plan
 
     def request_poll(self) -> None:
-        """Make the monitors ask for reports now."""
-        self.poll_wanted.set()
-        self.poll_wanted = asyncio.Event()
+        """Make the monitors poll now."""
+        self.poll_requested.set()
+        self.poll_requested = asyncio.Event()
 
     def notify(self) -> None:
-        """Wake all that wait for a report."""
+        """Wake all tasks that wait for a report."""
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def _plan_current(self, now_ms: float) -> ReadPlan | None:
-        """Return the primary, if it is certainly the present one."""
+    def _plan_at_primary(self, now_ms: float) -> ReadPlan | None:
+        """Return a plan at the primary; None without evidence that it is current."""
         pool = self.usable_primary()
         if not self.is_current():
             return None
         members = (pool.member.name,) if pool is not None else ()
         return ReadPlan(members, self.evidence.latest_position())
 
-    def _find_floor(
+    def _find_min_position(
         self, route: Route, session_position: Position | None, now_ms: float
     ) -> Position | None:
         min_position = self.evidence.find_min_position(route.max_age_ms, now_ms)
@@ -299,7 +322,7 @@
             pool = make_member_pool(
                 member, self.open_link, self.clock, self._connection_limit()
             )
-            # A member that crashes ends its connections long before the next poll.
+            # A crash ends the member's connections long before the next poll.
             pool.on_link_end = self.request_poll
             self.pools[member.name] = pool
             return
@@ -307,15 +330,15 @@
             (pool.member.host, pool.member.port) != (member.host, member.port)
         ):
             pool.drop_all()
-            self.evidence.forget(member.name)
+            self.evidence.discard_member(member.name)
         pool.member = member
         if not member.is_leaving:
             self.leaving_ms.pop(member.name, None)
 
     def _connection_limit(self) -> int:
         if self.settings is None:
-            return UNKNOWN_LIMIT
-        usable = int(self.settings.max_connections * (1.0 - RESERVED_CONNECTIONS))
+            return DEFAULT_CONNECTION_LIMIT
+        usable = int(self.settings.max_connections * (1.0 - RESERVED_FRACTION))
         return max(MIN_CONNECTIONS, usable // self.nodes)
 
 
@@ -324,9 +347,9 @@
     zone: str,
     clock: Clock,
     open_link: OpenLink,
-    has_all_announcements: Callable[[float], bool] = _assume_known,
+    has_all_announcements: Callable[[float], bool] = _assume_announced,
 ) -> GroupAccess:
-    """Return a group of which nothing is known yet."""
+    """Return a group without members or evidence."""
     return GroupAccess(
         name, zone, clock, open_link, GroupEvidence(name), has_all_announcements
     )
--- a/src/radishtrack/pooler/choice.py
+++ b/src/radishtrack/pooler/member_ranking.py
@@ -1,4 +1,4 @@
-"""Which member runs a read, and in which order others are tried."""
+"""Ranks the members that can run a read; a read tries them in this order."""
 
 from __future__ import annotations
 
@@ -8,19 +8,20 @@
 import attrs
 
 ZONE_COST: Final = 1.0
-"""Cost of a member in another zone, where bytes are dear: above that of opening a
-connection, and that of one statement in flight for each slot, so that a busy member of
-the own zone does not collect a queue while others are free."""
+"""Cost of a member in another zone, because traffic between zones is expensive. It is
+above the cost of opening a connection, and equals that of one statement in flight for
+each slot, so that a busy member of the own zone does not build up a queue while others
+are idle."""
 CONNECT_COST: Final = 0.6
-"""Cost of opening a connection, which takes a slot of the member for about as long as
-a statement."""
+"""Cost of opening a connection, which occupies a slot of the member for about as long
+as a statement."""
 PRIMARY_COST: Final = 0.5
 """Cost of the primary for reads that replicas can serve: writes need its slots."""
 BEHIND_COST: Final = 1.5
-"""Cost of a member that may not have applied the position yet: a refusal costs a round
-trip and leaves the read to another member, so any other is tried first."""
+"""Cost of a member that may not have applied the position yet. A refusal costs a round
+trip and the read moves to another member, so any other member is tried first."""
 FAR_BEHIND_COST: Final = 10.0
-"""Cost of a member that would refuse; it is tried only if nobody else can be."""
+"""Cost of a member that would refuse the read; it is tried last."""
 
 
 @attrs.frozen
@@ -34,15 +35,15 @@
     is_local : bool
         Whether it is in the node's zone.
     is_primary : bool
-        Whether it leads the group.
+        Whether it is the primary of the group.
     has_connection : bool
-        Whether an idle connection of the organisation exists.
+        Whether the organisation has an idle connection to it.
     in_flight : int
         Statements of this node that run or wait there.
     slots : int
         Statements that the member runs at once.
     service_ms : float
-        Recent mean time of a statement there.
+        Recent mean duration of a statement there.
     is_behind : bool
         Whether it may lack the position that the read needs.
     is_far_behind : bool
@@ -63,13 +64,16 @@
 def rank_candidates(candidates: Iterable[Candidate]) -> tuple[str, ...]:
     """Return the members in the order in which a read tries them.
 
-    The expected wait grows with what is in flight for each slot and with how long the
-    member has lately taken for a statement, so that a slow member gets less.
+    The cost grows with the statements in flight for each slot and with the recent
+    duration of statements, so that a slow member gets fewer reads.
     """
-    known = tuple(candidates)
-    fastest_ms = min((candidate.service_ms for candidate in known), default=1.0)
+    all_candidates = tuple(candidates)
+    fastest_ms = min(
+        (candidate.service_ms for candidate in all_candidates), default=1.0
+    )
     ranked = sorted(
-        known, key=lambda candidate: (_cost(candidate, fastest_ms), candidate.member)
+        all_candidates,
+        key=lambda candidate: (_cost(candidate, fastest_ms), candidate.member),
     )
     return tuple(candidate.member for candidate in ranked)
 
--- a/src/radishtrack/pooler/monitor.py
+++ b/src/radishtrack/pooler/monitor.py
@@ -1,4 +1,4 @@
-"""Polls the members of a group and decides whether they can be reached."""
+"""Polls the members of a group and detects unreachable ones."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from radishtrack.events import Event, log_event
 from radishtrack.group.status import Role
 from radishtrack.pooler.catalog import MemberReport
-from radishtrack.pooler.evidence import BELIEF_MS
+from radishtrack.pooler.evidence import EVIDENCE_VALID_MS
 from radishtrack.pooler.group_access import GroupAccess
 from radishtrack.pooler.member_pool import MemberPool
 from radishtrack.pooler.ports import LinkLost, LinkRefused
@@ -26,22 +26,25 @@
     Unfence,
 )
 
-POLL_INTERVAL_MS: Final = 0.45 * BELIEF_MS
-"""Two polls fit into the time for which a report is evidence."""
-RELAYED_INTERVAL_MS: Final = 0.75 * BELIEF_MS
-"""Age of a report at which a node that gets reports from another one asks itself:
-reports come with up to 1.4 s, and evidence must not end before the own answer."""
+POLL_INTERVAL_MS: Final = 0.45 * EVIDENCE_VALID_MS
+"""Interval of polls, so that two fit into the time for which evidence is valid."""
+RELAYED_INTERVAL_MS: Final = 0.75 * EVIDENCE_VALID_MS
+"""Age of a report at which a node polls itself although it gets reports from another
+node. Relayed reports are up to 1.4 s old, and the node's own poll must complete before
+the evidence expires."""
 MIN_POLL_SPACING_MS: Final = 60.0
-"""Statements that wait for a report cause at most one poll in this time."""
+"""Smallest interval between two polls that waiting statements cause."""
 UNREACHABLE_POLL_INTERVAL_MS: Final = 250.0
-"""Pause between attempts to reach a member that does not answer."""
+"""Pause between polls of a member that does not respond."""
 STATUS_TIMEOUT_MS: Final = 500.0
-"""A report waits behind the member's queue, which a slow member needs this long for."""
-SILENCE_MS: Final = 900.0
-"""A member that has answered nothing for so long, and fails two polls in a row, is
-unreachable."""
+"""Time limit of a poll, which waits in the member's queue; a slow member takes this
+long for its queue."""
+UNREACHABLE_AFTER_MS: Final = 900.0
+"""Time without a response after which a member that also fails two polls in a row
+counts as unreachable."""
 FAILURES_TO_SUSPECT: Final = 2
-"""The first failure may be that of one connection; the second poll opens a new one."""
+"""Failed polls in a row before a member counts as unreachable. The first failure may
+affect one connection only; the second poll opens a new one."""
 
 
 @attrs.define(eq=False)
@@ -56,6 +59,8 @@
         The member.
     organisation : callable
         Returns the organisation for connections that the monitor has to open.
+    polls_for_fleet : callable
+        Returns whether this node polls for all nodes.
     clock : Clock
         Time in milliseconds.
     """
@@ -69,17 +74,17 @@
     async def run(self) -> None:
         """Poll until the member is removed from the group."""
         while (pool := self.access.pools.get(self.name)) is not None:
-            wanted = self.access.poll_wanted
+            requested = self.access.poll_requested
             await self.poll(pool)
             await asyncio.sleep(MIN_POLL_SPACING_MS / 1000)
-            await self._await_next(pool, wanted)
+            await self._await_next(pool, requested)
 
-    async def _await_next(self, pool: MemberPool, wanted: asyncio.Event) -> None:
-        """Wait until the member's report is too old, or until it is wanted sooner."""
-        while (pause_ms := self._pause_ms(pool)) > 0 and not wanted.is_set():
+    async def _await_next(self, pool: MemberPool, requested: asyncio.Event) -> None:
+        """Wait until the next poll is due or an earlier one is requested."""
+        while (pause_ms := self._pause_ms(pool)) > 0 and not requested.is_set():
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(pause_ms / 1000):
-                    await wanted.wait()
+                    await requested.wait()
 
     def _pause_ms(self, pool: MemberPool) -> float:
         if pool.failures:
@@ -91,17 +96,17 @@
         interval_ms = (
             POLL_INTERVAL_MS if self.polls_for_fleet() else RELAYED_INTERVAL_MS
         )
-        pause_ms = observation.asked_ms + interval_ms - self.clock.now_ms()
-        # A member that answers without a report is too busy for a faster pace.
+        pause_ms = observation.requested_ms + interval_ms - self.clock.now_ms()
+        # A member that responds without a report is too busy to be polled sooner.
         return max(pause_ms, self._since_poll_ms(pool))
 
     def _since_poll_ms(self, pool: MemberPool) -> float:
         return pool.polled_ms + UNREACHABLE_POLL_INTERVAL_MS - self.clock.now_ms()
 
     async def poll(self, pool: MemberPool) -> None:
-        """Ask for one report and act on what it shows."""
+        """Request one report and correct a member that missed a promotion."""
         pool.polled_ms = self.clock.now_ms()
-        report = await self._ask(pool, AskStatus())
+        report = await self._request_report(pool, AskStatus())
         if report is None:
             return
         correction = find_correction(self.access, report)
@@ -115,24 +120,24 @@
                 member_term=report.term,
                 fenced_term=report.fenced_term,
             )
-            await self._ask(pool, correction)
+            await self._request_report(pool, correction)
 
-    async def _ask(
+    async def _request_report(
         self, pool: MemberPool, statement: MemberStatement
     ) -> MemberReport | None:
-        return await ask_member(
+        return await request_report(
             self.access, pool, statement, self.organisation(), self.clock
         )
 
 
-async def ask_member(
+async def request_report(
     access: GroupAccess,
     pool: MemberPool,
     statement: MemberStatement,
     organisation: str,
     clock: Clock,
 ) -> MemberReport | None:
-    """Run a statement that is answered by a report, and take the report in.
+    """Run a statement whose response contains a report, and record the report.
 
     Parameters
     ----------
@@ -143,47 +148,49 @@
     statement : MemberStatement
         `AskStatus`, `Fence`, `Unfence` or `StepDown`.
     organisation : str
-        For a connection that has to be opened.
+        Organisation for a connection that has to be opened.
     clock : Clock
         Time in milliseconds.
 
     Returns
     -------
     MemberReport or None
-        None if the member could not be asked.
+        None if no report was received.
     """
-    asked_ms = clock.now_ms()
+    requested_ms = clock.now_ms()
     try:
-        async with pool.lease_any(organisation, asked_ms + STATUS_TIMEOUT_MS) as pooled:
+        async with pool.lease_any(
+            organisation, requested_ms + STATUS_TIMEOUT_MS
+        ) as pooled:
             sent_ms = clock.now_ms()
-            answer = await pooled.run(
+            response = await pooled.run(
                 statement, min_position=None, timeout_ms=STATUS_TIMEOUT_MS
             )
     except RequestError:
-        # All connections are in use, which says nothing about the member.
+        # All connections are in use, so the member's state remains unknown.
         return None
     except LinkRefused as error:
-        _note_failure(access, pool, error.reason, clock.now_ms(), error.is_dead)
+        _record_failure(access, pool, error.reason, clock.now_ms(), error.is_dead)
         return None
     except LinkLost as error:
         pool.drop_idle()
-        _note_failure(access, pool, error.reason, clock.now_ms(), False)
+        _record_failure(access, pool, error.reason, clock.now_ms(), False)
         return None
-    _note_heard(access, pool, clock.now_ms())
-    if answer.report is None:
-        if answer.refusal not in (None, Refusal.BUSY):
+    _record_response(access, pool, clock.now_ms())
+    if response.report is None:
+        if response.refusal not in (None, Refusal.BUSY):
             log_event(
                 Event.MEMBER_REPORT_INVALID,
                 group=access.name,
                 member=pool.member.name,
-                refusal=answer.refusal,
-                detail=answer.detail,
+                refusal=response.refusal,
+                detail=response.detail,
             )
         return None
-    report = attrs.evolve(answer.report, member=pool.member.name)
+    report = attrs.evolve(response.report, member=pool.member.name)
     changed = access.evidence.observe_report(report, sent_ms, clock.now_ms())
-    if answer.position is not None:
-        access.evidence.observe_position(pool.member.name, answer.position, sent_ms)
+    if response.position is not None:
+        access.evidence.observe_position(pool.member.name, response.position, sent_ms)
     if changed:
         log_event(
             Event.PRIMARY_KNOWN,
@@ -199,19 +206,19 @@
 def find_correction(
     access: GroupAccess, report: MemberReport
 ) -> StepDown | Unfence | None:
-    """Return the order for a member that has missed a completed promotion."""
+    """Return the statement that corrects a member that missed a completed promotion."""
     evidence = access.evidence
     if not evidence.primary or report.member == evidence.primary:
         return None
     if report.term < evidence.term and report.role is Role.PRIMARY:
         return StepDown(evidence.term)
-    # A fence of a later term belongs to a promotion that is still under way.
+    # A fence of a later term belongs to a promotion that is still running.
     if report.is_fenced and report.fenced_term <= evidence.term:
         return Unfence()
     return None
 
 
-def _note_heard(access: GroupAccess, pool: MemberPool, now_ms: float) -> None:
+def _record_response(access: GroupAccess, pool: MemberPool, now_ms: float) -> None:
     pool.heard_ms = now_ms
     pool.failures = 0
     if not pool.is_reachable:
@@ -219,13 +226,15 @@
         log_event(Event.MEMBER_REACHABLE, group=access.name, member=pool.member.name)
 
 
-def _note_failure(
+def _record_failure(
     access: GroupAccess, pool: MemberPool, reason: str, now_ms: float, is_dead: bool
 ) -> None:
     silent_ms = now_ms - pool.heard_ms
     pool.failures += 1
-    is_silent = silent_ms >= SILENCE_MS and pool.failures >= FAILURES_TO_SUSPECT
-    if not pool.is_reachable or not (is_dead or is_silent):
+    is_unresponsive = (
+        silent_ms >= UNREACHABLE_AFTER_MS and pool.failures >= FAILURES_TO_SUSPECT
+    )
+    if not pool.is_reachable or not (is_dead or is_unresponsive):
         return
     pool.is_reachable = False
     log_event(
@@ -236,6 +245,6 @@
         silent_ms=round(silent_ms),
         is_primary=pool.member.name == access.evidence.primary,
     )
-    # Ends the statements that still wait there, so that reads go on elsewhere.
+    # Ends the statements that still wait there, so that reads run at other members.
     pool.drop_all()
     access.notify()
--- a/src/radishtrack/pooler/peers.py
+++ b/src/radishtrack/pooler/peers.py
@@ -1,4 +1,4 @@
-"""Links to the other nodes of the fleet, opened when they are first needed."""
+"""Links to the other nodes of the fleet, opened at the first request."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from radishtrack.pooler.catalog import NodeRecord
 
 RETRY_LINK_MS: Final = 500.0
-"""Pause after a peer could not be reached, so that a dead one costs little."""
+"""Pause after a failed connection, so that an unreachable peer costs little."""
 
 
 @attrs.frozen
 class NotRunning:
-    """The peer's host answered that no process listens there."""
+    """The peer's host refused the connection because no process listens there."""
 
 
 MakeMessage = Callable[[int], Message]
@@ -48,7 +48,7 @@
     links: dict[str, PeerLink] = attrs.field(factory=dict)
     failed_ms: dict[str, float] = attrs.field(factory=dict)
     locks: dict[str, asyncio.Lock] = attrs.field(factory=dict)
-    numbers: Iterator[int] = attrs.field(factory=lambda: itertools.count(1))
+    request_numbers: Iterator[int] = attrs.field(factory=lambda: itertools.count(1))
 
     def others(self) -> tuple[NodeRecord, ...]:
         """Return the registered nodes without this one."""
@@ -57,13 +57,19 @@
     async def send_request(
         self, node: NodeRecord, make_message: MakeMessage, timeout_ms: float
     ) -> Message | NotRunning | None:
-        """Ask one peer; None if it does not answer in time."""
+        """Send a request to one peer and return its response.
+
+        Returns
+        -------
+        Message, NotRunning or None
+            None if the peer does not respond in time or the link is lost.
+        """
         try:
             async with asyncio.timeout(timeout_ms / 1000):
                 link = await self._open(node)
                 if link is None:
                     return None
-                request = next(self.numbers)
+                request = next(self.request_numbers)
                 return await link.call(
                     make_message(request), request, timeout_ms / 1000
                 )
@@ -78,12 +84,14 @@
     async def request_all(
         self, make_message: MakeMessage, timeout_ms: float
     ) -> dict[str, Message | NotRunning | None]:
-        """Ask all registered peers at the same time; answers by node name."""
+        """Send a request to all registered peers; return the responses by node name."""
         nodes = self.others()
-        answers = await asyncio.gather(
+        responses = await asyncio.gather(
             *(self.send_request(node, make_message, timeout_ms) for node in nodes)
         )
-        return {node.name: answer for node, answer in zip(nodes, answers, strict=True)}
+        return {
+            node.name: response for node, response in zip(nodes, responses, strict=True)
+        }
 
     async def close(self) -> None:
         """Close all links."""
@@ -100,7 +108,8 @@
             now_ms = self.clock.now_ms()
             if failed_ms is not None and now_ms - failed_ms < RETRY_LINK_MS:
                 return None
-            # A refused connection costs a round trip only, and says something.
+            # A refused connection causes no pause: it costs one round trip only, and
+            # shows that the process is not running.
             self.failed_ms[node.name] = now_ms
             try:
                 link = await open_link(
--- a/src/radishtrack/pooler/ports.py
+++ b/src/radishtrack/pooler/ports.py
@@ -1,4 +1,4 @@
-"""What the pooler needs from the platform it runs on; adapters implement these."""
+"""Interfaces of the pooler to its platform, implemented by adapters."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class LinkLost(Exception):
-    """Raised when a member connection ends, or does not answer in time.
+    """Raised when a member connection ends, or the response is late.
 
     Parameters
     ----------
     reason : str
-        What happened.
+        Cause of the failure.
     is_sent : bool
         Whether the statement may have reached the member.
     """
@@ -36,9 +36,9 @@
     Parameters
     ----------
     reason : str
-        What happened.
+        Cause of the failure.
     is_dead : bool
-        Whether the host answered that nothing listens there.
+        Whether the host reported that no process listens on the port.
     is_wrong_member : bool
         Whether another member or service has the address.
     is_full : bool
@@ -74,26 +74,26 @@
         min_position: Position | None,
         timeout_ms: float,
     ) -> MemberAnswer:
-        """Run a statement and return its complete answer.
+        """Run a statement and return its complete response.
 
         Parameters
         ----------
         statement : MemberStatement
             The statement.
-        floor : Position or None
+        min_position : Position or None
             For reads and `Begin`: the member refuses if its log lacks this position.
         timeout_ms : float
-            Longest wait for the answer in milliseconds.
+            Longest wait for the response in milliseconds.
 
         Raises
         ------
         LinkLost
-            If the connection ended, answered out of order, or did not answer in time;
-            the link is closed then.
+            If the connection ended, or the response was out of order or late. The link
+            is then closed.
         """
 
     def watch_end(self, on_end: Callable[[], None]) -> None:
-        """Call back once if the connection ends without `close`."""
+        """Call `on_end` once if the connection ends without `close`."""
 
     def close(self) -> None:
         """Close the connection; the member rolls back."""
@@ -106,16 +106,16 @@
 
 
 class StoreUnavailable(Exception):
-    """Raised when the store gave no usable answer.
+    """Raised when the store gave no usable response.
 
     Parameters
     ----------
     step : str
-        What was asked.
+        Name of the call.
     reason : str
-        What happened.
+        Cause of the failure.
     is_effect_unknown : bool
-        Whether a write may have taken effect, or may still do so.
+        Whether a write may have taken effect or may still take effect.
     """
 
     def __init__(self, step: str, reason: str, *, is_effect_unknown: bool) -> None:
@@ -127,16 +127,17 @@
 
 @attrs.frozen
 class Duty:
-    """The record of which node holds a duty that only one may have at a time.
+    """Record of the node that holds a duty; only one node holds it at a time.
 
     Parameters
     ----------
     holder : str
-        Node that holds the duty; empty if nobody ever did.
+        Node that holds the duty; empty if it was released or never claimed.
     revision : int
-        Of the record's last change; unique, and grows with each claim. 0 if absent.
+        Revision of the record's last change, 0 if there is no record. It is unique and
+        grows with each claim.
     claim : str
-        Identifies the claim, so that a lost answer can be resolved.
+        Identifies the claim, so that a lost response can be resolved.
     """
 
     holder: str
@@ -146,18 +147,18 @@
 
 @attrs.frozen
 class FleetListing:
-    """The system's own records, with the store's revision at which they were read.
+    """Records of the fleet, with the store revision at which they were read.
 
     Parameters
     ----------
     nodes : tuple of NodeRecord
         All registered nodes.
     duties : mapping
-        Who holds which duty; names without a record are absent.
+        Duties by name; names without a record are absent.
     terms : mapping
-        The newest term of which a promotion was announced, by group.
+        Newest term for which a promotion was announced, by group.
     revision : int
-        The store's revision; grows with each change of any object.
+        Store revision; grows with each change of any object.
     """
 
     nodes: tuple[NodeRecord, ...]
@@ -170,7 +171,7 @@
     """The platform's durable store. Every call raises `StoreUnavailable`."""
 
     async def list_fleet(self) -> FleetListing:
-        """Return the registered nodes and the duties; the answer is linearizable."""
+        """Return nodes, duties and announced terms by a linearizable read."""
 
     async def register_node(self, node: NodeRecord) -> None:
         """Create or replace a node's record."""
@@ -179,7 +180,7 @@
         """Delete a node's record."""
 
     async def read_catalog(self) -> Catalog | None:
-        """Return the present configuration; None if there is none yet."""
+        """Return the current configuration, or None if there is none yet."""
 
     async def list_members(self) -> tuple[Member, ...]:
         """Return the registered members whose entries are valid."""
@@ -187,25 +188,25 @@
     async def claim_duty(
         self, name: str, duty: Duty, holder: str, claim: str
     ) -> Duty | None:
-        """Replace the record if it is still `duty`; None if it is not."""
+        """Replace a duty's record if it still equals `duty`; otherwise return None."""
 
     async def announce_term(self, group: str, term: int) -> None:
-        """Tell all nodes that a promotion to a term may be ordered from now on."""
+        """Announce that a promotion to a term may be ordered from now on."""
 
     async def read_secret(self) -> bytes:
         """Return the secret of the fleet's peers, creating it if there is none."""
 
 
 class PromotionResult(enum.Enum):
-    """What became of a promotion order."""
+    """Result of a promotion order."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
     """The member does not run, or the platform rejects the order."""
     UNKNOWN = "unknown"
-    """No answer; the order may take effect."""
+    """No response; the order may take effect."""
 
 
 PromoteMember = Callable[[str, str, str, int], Awaitable[PromotionResult]]
-"""Orders a promotion: takes group, member, name of the node that holds the duty, and
-its fencing token."""
+"""Orders a promotion. The arguments are the group, the member, the node that holds the
+duty and its fencing token."""
--- a/src/radishtrack/pooler/promoter.py
+++ b/src/radishtrack/pooler/promoter.py
@@ -1,4 +1,4 @@
-"""Replaces primaries: claims the duty, fences members, orders the promotion."""
+"""Replaces primaries: claims the duty, fences members and orders the promotion."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from radishtrack.pooler.catalog import MemberReport
 from radishtrack.pooler.control import DEPARTURE_MS, Control
 from radishtrack.pooler.coordinator_failover import RATES_DUTY
-from radishtrack.pooler.evidence import BELIEF_MS
+from radishtrack.pooler.evidence import EVIDENCE_VALID_MS
 from radishtrack.pooler.group_access import GroupAccess
-from radishtrack.pooler.monitor import ask_member
+from radishtrack.pooler.monitor import request_report
 from radishtrack.pooler.peers import NotRunning, Peers
 from radishtrack.pooler.ports import PromoteMember, PromotionResult, StoreUnavailable
 from radishtrack.pooler.promotion import (
-    Reason,
+    PromotionReason,
     ReplicationProgress,
     choose_successor,
-    count_needed,
-    find_reason,
-    is_leaderless,
+    count_required_fences,
+    find_promotion_reason,
+    is_promotion_unfinished,
 )
 from radishtrack.pooler.promotion_duty import PromotionDuty
 from radishtrack.pooler.rank import rank_node
@@ -34,38 +34,41 @@
 from radishtrack.pooler.tasks import start_task
 
 CHECK_INTERVAL_MS: Final = 100.0
-"""Pause between checks of all groups; small against the time to notice a failure."""
+"""Pause between checks of all groups; short against the time to detect a failure."""
 RANK_DELAY_MS: Final = 150.0
-"""Head start of each node over the next one, longer than a claim takes, so that nodes
-seldom fence the same members."""
+"""Delay per rank before a node starts a promotion; longer than a claim takes, so that
+nodes seldom fence the same members."""
 VOTE_TIMEOUT_MS: Final = 400.0
-"""A peer that takes longer than its own question to the member can't be asked."""
+"""Time limit for a peer's vote, longer than the peer's own poll of the primary. Later
+votes are not counted."""
 VOTE_POLL_MS: Final = 300.0
-"""Wait for the primary's answer to a peer that votes."""
-VOTE_SILENCE_MS: Final = 200.0
-"""A member that has answered within this time is alive; else it is asked."""
+"""Time limit for the poll of the primary by a peer that votes."""
+VOTE_RECENT_RESPONSE_MS: Final = 200.0
+"""A member with a response within this time counts as alive; otherwise it is polled."""
 FENCE_ROUNDS: Final = 3
-"""Rounds in which members that did not answer are asked again."""
+"""Attempts to fence enough members."""
 FENCE_PAUSE_MS: Final = 100.0
-"""Pause between these rounds."""
+"""Pause between these attempts."""
 CONFIRM_PROMOTION_MS: Final = 2_000.0
-"""Longest wait until the promoted member leads; it takes some hundred milliseconds."""
+"""Longest wait until the promoted member is the primary; usually it takes some hundred
+milliseconds."""
 CONFIRM_POLL_MS: Final = 40.0
-"""Pause between questions whether the promoted member leads."""
+"""Interval of polls whether the promoted member is the primary."""
 RETRY_MS: Final = 250.0
 """Pause after a failed attempt."""
-WITHDRAW_TIMEOUT_MS: Final = 200.0
-"""Nodes that do not confirm by then are waited for until their belief ends."""
+INVALIDATE_TIMEOUT_MS: Final = 200.0
+"""Time limit for nodes to confirm; without a confirmation the promoter waits until the
+node's evidence has expired."""
 
 MakeOrganisation = Callable[[], str]
 
 
 @attrs.define(eq=False)
-class Watched:
-    """What the promoter remembers of one group."""
+class PromotionState:
+    """Progress of failure detection and promotion in one group."""
 
     progress: ReplicationProgress = attrs.field(factory=ReplicationProgress)
-    leaderless_since_ms: float | None = None
+    unfinished_since_ms: float | None = None
     reason_since_ms: float | None = None
     not_before_ms: float = 0.0
     task: asyncio.Task[None] | None = None
@@ -73,7 +76,7 @@
 
 @attrs.define(eq=False)
 class Promoter:
-    """Watches all groups of a node; `run` never returns."""
+    """Monitors all groups of a node and starts promotions; `run` never returns."""
 
     name: str
     clock: Clock
@@ -83,11 +86,11 @@
     promote: PromoteMember
     list_groups: Callable[[], tuple[GroupAccess, ...]]
     organisation: MakeOrganisation
-    watched: dict[str, Watched] = attrs.field(factory=dict)
+    states: dict[str, PromotionState] = attrs.field(factory=dict)
     started_ms: float = 0.0
 
     async def run(self) -> None:
-        """Check all groups again and again."""
+        """Check all groups periodically."""
         self.started_ms = self.clock.now_ms()
         while True:
             await asyncio.sleep(CHECK_INTERVAL_MS / 1000)
@@ -95,64 +98,72 @@
                 self.check(access)
 
     def check(self, access: GroupAccess) -> None:
-        """Start an attempt if the group's primary has to be replaced."""
+        """Start a promotion if the group's primary has to be replaced."""
         now_ms = self.clock.now_ms()
-        watched = self.watched.setdefault(access.name, Watched())
-        watched.progress.observe(access.evidence, now_ms)
-        if not is_leaderless(access.evidence):
-            watched.leaderless_since_ms = None
-        elif watched.leaderless_since_ms is None:
-            watched.leaderless_since_ms = now_ms
-        if watched.task is not None and not watched.task.done():
+        state = self.states.setdefault(access.name, PromotionState())
+        state.progress.observe(access.evidence, now_ms)
+        if not is_promotion_unfinished(access.evidence):
+            state.unfinished_since_ms = None
+        elif state.unfinished_since_ms is None:
+            state.unfinished_since_ms = now_ms
+        if state.task is not None and not state.task.done():
             return
-        reason = find_reason(
-            access, watched.progress, watched.leaderless_since_ms, now_ms
+        reason = find_promotion_reason(
+            access, state.progress, state.unfinished_since_ms, now_ms
         )
         if reason is None:
-            watched.reason_since_ms = None
+            state.reason_since_ms = None
             return
-        if watched.reason_since_ms is None:
-            watched.reason_since_ms = now_ms
-        start_ms = watched.reason_since_ms + self._rank(access.name) * RANK_DELAY_MS
-        if now_ms < max(start_ms, watched.not_before_ms) or self.duty.is_taken():
+        if state.reason_since_ms is None:
+            state.reason_since_ms = now_ms
+        start_ms = state.reason_since_ms + self._rank(access.name) * RANK_DELAY_MS
+        if now_ms < max(start_ms, state.not_before_ms) or self.duty.is_held_by_other():
             return
         if not self.control.is_available:
             return
-        watched.task = start_task(
-            self._attempt(access, watched, reason), f"promotion in {access.name}"
+        state.task = start_task(
+            self._attempt(access, state, reason), f"promotion in {access.name}"
         )
 
     async def vote(self, group: str, member: str) -> bool:
-        """Answer a peer: whether this node finds that a primary can't serve."""
+        """Return this node's vote whether a primary can't serve.
+
+        Parameters
+        ----------
+        group : str
+            Name of the group.
+        member : str
+            The primary from the peer's point of view.
+        """
         access = next((a for a in self.list_groups() if a.name == group), None)
         if access is None:
             return True
-        watched = self.watched.get(group)
+        state = self.states.get(group)
         pool = access.pools.get(member)
         if pool is None or not pool.is_reachable or access.evidence.primary != member:
             return True
-        if watched is not None and watched.reason_since_ms is not None:
+        if state is not None and state.reason_since_ms is not None:
             return True
-        if self.clock.now_ms() - pool.heard_ms <= VOTE_SILENCE_MS:
+        if self.clock.now_ms() - pool.heard_ms <= VOTE_RECENT_RESPONSE_MS:
             return False
-        # An idle member is not heard of; only a question tells whether it lives.
+        # An idle member sends no responses, so a poll has to show whether it is alive.
         try:
             async with asyncio.timeout(VOTE_POLL_MS / 1000):
-                (report,) = await self._ask_all(access, [member], AskStatus()) or (
-                    None,
-                )
+                (report,) = await self._request_reports(
+                    access, [member], AskStatus()
+                ) or (None,)
         except TimeoutError:
             return True
         return report is None
 
     def _rank(self, group: str) -> int:
-        """Return this node's place in the group's order of promoting nodes."""
-        # The node that polls for all notices a failure first.
+        """Return this node's rank in the order in which nodes promote in the group."""
+        # The node that polls for the fleet detects a failure first.
         poller = self.control.find_duty(RATES_DUTY).duty.holder
         return rank_node(self.name, group, self.control.nodes, poller)
 
     async def _attempt(
-        self, access: GroupAccess, watched: Watched, reason: Reason
+        self, access: GroupAccess, state: PromotionState, reason: PromotionReason
     ) -> None:
         started_ms = self.clock.now_ms()
         evidence = access.evidence
@@ -164,11 +175,11 @@
             reason=reason.value,
         )
         try:
-            outcome = await self._replace(access, reason)
+            outcome = await self._replace_primary(access, reason)
         except StoreUnavailable as error:
             outcome = f"store: {error}"
         finally:
-            watched.not_before_ms = self.clock.now_ms() + RETRY_MS
+            state.not_before_ms = self.clock.now_ms() + RETRY_MS
         event = Event.PROMOTION_FAILED if outcome else Event.PROMOTION_WON
         log_event(
             event,
@@ -179,17 +190,21 @@
             elapsed_ms=round(self.clock.now_ms() - started_ms),
         )
 
-    async def _replace(self, access: GroupAccess, reason: Reason) -> str:
-        """Run one attempt; return why it failed, or nothing."""
+    async def _replace_primary(
+        self, access: GroupAccess, reason: PromotionReason
+    ) -> str:
+        """Run one promotion; return why it failed, or an empty string."""
         old_primary = access.presumed_primary()
-        if reason.needs_votes and not await self._is_agreed(access, old_primary):
+        if reason.needs_votes and not await self._is_confirmed_by_peers(
+            access, old_primary
+        ):
             return "another node reaches the primary"
-        # Members that have just joined may hold acknowledged commits.
+        # Members that have just joined may have acknowledged commits.
         if not await self.control.confirm():
             return "the store can't confirm the list of members"
         claim = await self.duty.claim()
         if claim is None:
-            return "another node has the duty"
+            return "another node holds the duty"
         term = access.evidence.term + 1
         await self.control.store.announce_term(access.name, term)
         log_event(
@@ -203,10 +218,11 @@
         if fenced_ms is None:
             await self._unfence(access, old_primary)
             return "too few members could be fenced"
-        # A node that has taken over fences by itself; its members are left alone.
+        # A node that has taken over the duty fences members itself, so they are not
+        # unfenced here.
         if not await self.duty.renew(claim):
             return "another node has taken the duty over"
-        await self._await_withdrawal(access, fenced_ms)
+        await self._await_invalidation(access, fenced_ms)
         if not await self.duty.renew(claim):
             return "another node has taken the duty over"
         fenced = await self._read_fenced(access, term, old_primary)
@@ -218,11 +234,11 @@
             return "another promotion was faster"
         if successor is None:
             await self._unfence(access, old_primary)
-            return "members did not stay fenced"
+            return "too few members remained fenced"
         if not self.duty.may_order(claim):
             await self._unfence(access, old_primary)
-            return "the last step took longer than a claim lasts"
-        age_ms = self.clock.now_ms() - claim.asked_ms
+            return "the last step took longer than the claim is valid"
+        age_ms = self.clock.now_ms() - claim.requested_ms
         result = await self.promote(
             access.name, successor.member, self.name, claim.duty.revision
         )
@@ -238,92 +254,99 @@
         if result is PromotionResult.REFUSED:
             return f"the order to promote {successor.member} was refused"
         if not await self._await_primary(access, successor.member, term):
-            return f"{successor.member} does not lead yet"
+            return f"{successor.member} is not the primary yet"
         await self._unfence(access, successor.member)
         return ""
 
-    async def _is_agreed(self, access: GroupAccess, primary: str) -> bool:
-        answers = await self.peers.request_all(
+    async def _is_confirmed_by_peers(self, access: GroupAccess, primary: str) -> bool:
+        responses = await self.peers.request_all(
             lambda request: VoteRequest(request, access.name, primary), VOTE_TIMEOUT_MS
         )
-        votes = [answer for answer in answers.values() if isinstance(answer, Vote)]
+        votes = [
+            response for response in responses.values() if isinstance(response, Vote)
+        ]
         return all(vote.unreachable for vote in votes)
 
     async def _fence(
         self, access: GroupAccess, term: int, old_primary: str
     ) -> float | None:
-        """Fence enough members; return when that was complete, or None."""
+        """Fence enough members; return the time of completion, or None on failure."""
         for _ in range(FENCE_ROUNDS):
             names = [name for name in access.pools if name != old_primary]
-            await self._ask_all(access, names, Fence(term))
-            needed = count_needed(access.evidence, old_primary)
+            await self._request_reports(access, names, Fence(term))
+            needed = count_required_fences(access.evidence, old_primary)
             if self._count_fenced(access, term, old_primary) >= needed:
                 return self.clock.now_ms()
             await asyncio.sleep(FENCE_PAUSE_MS / 1000)
         return None
 
-    async def _await_withdrawal(self, access: GroupAccess, fenced_ms: float) -> None:
-        """Wait until no node believes in the old term any more.
+    async def _await_invalidation(self, access: GroupAccess, fenced_ms: float) -> None:
+        """Wait until no node has valid evidence of the old term.
 
-        The list of nodes has to be read after the members were fenced: a node that
-        registers later can't gather evidence of the old term.
+        The list of nodes must be read after the members were fenced: a node that
+        registers later can't obtain evidence of the old term.
         """
         access.evidence.invalidate(self.clock.now_ms())
         is_complete = await self.control.confirm()
-        answers = await self.peers.request_all(
+        responses = await self.peers.request_all(
             lambda request: WithdrawBelief(request, access.name),
-            WITHDRAW_TIMEOUT_MS,
+            INVALIDATE_TIMEOUT_MS,
         )
-        # A process that is not running believes nothing, and one that starts gathers
-        # its evidence after it listens. A young node may not know who has just left.
+        # A process that is not running has no evidence, and one that starts discards
+        # what it had when it begins to listen. If this node started recently, it may
+        # not know nodes that were removed shortly before.
         age_ms = self.clock.now_ms() - self.started_ms
         if (
             is_complete
             and age_ms > DEPARTURE_MS
             and all(
-                isinstance(answer, BeliefWithdrawn | NotRunning)
-                for answer in answers.values()
+                isinstance(response, BeliefWithdrawn | NotRunning)
+                for response in responses.values()
             )
         ):
             return
-        remaining_ms = fenced_ms + BELIEF_MS - self.clock.now_ms()
+        remaining_ms = fenced_ms + EVIDENCE_VALID_MS - self.clock.now_ms()
         await asyncio.sleep(max(0.0, remaining_ms) / 1000)
 
     async def _read_fenced(
         self, access: GroupAccess, term: int, old_primary: str
     ) -> dict[str, MemberReport]:
-        """Ask again, because a member that restarts forgets that it is fenced."""
+        """Return new reports of fenced members; a restart removes a member's fence."""
         names = [name for name in access.pools if name != old_primary]
-        reports = await self._ask_all(access, names, AskStatus())
+        reports = await self._request_reports(access, names, AskStatus())
         return {
             report.member: report for report in reports if report.fenced_term >= term
         }
 
     async def _unfence(self, access: GroupAccess, except_member: str) -> None:
         names = [name for name in access.pools if name != except_member]
-        await self._ask_all(access, names, Unfence())
+        await self._request_reports(access, names, Unfence())
 
     async def _await_primary(self, access: GroupAccess, member: str, term: int) -> bool:
         until_ms = self.clock.now_ms() + CONFIRM_PROMOTION_MS
         while self.clock.now_ms() < until_ms:
-            (report,) = await self._ask_all(access, [member], AskStatus()) or (None,)
-            leads = report is not None and report.role is Role.PRIMARY
-            if leads and report is not None and report.term >= term:
+            (report,) = await self._request_reports(access, [member], AskStatus()) or (
+                None,
+            )
+            is_primary = report is not None and report.role is Role.PRIMARY
+            if is_primary and report is not None and report.term >= term:
                 return True
             if access.evidence.term >= term and access.evidence.primary:
                 return True
             await asyncio.sleep(CONFIRM_POLL_MS / 1000)
         return False
 
-    async def _ask_all(
+    async def _request_reports(
         self, access: GroupAccess, names: list[str], statement: MemberStatement
     ) -> list[MemberReport]:
-        asked: list[Awaitable[MemberReport | None]] = [
-            ask_member(access, pool, statement, self.organisation(), self.clock)
+        requests: list[Awaitable[MemberReport | None]] = [
+            request_report(access, pool, statement, self.organisation(), self.clock)
             for name in names
             if (pool := access.pools.get(name)) is not None
         ]
-        return [report for report in await asyncio.gather(*asked) if report is not None]
+        return [
+            report for report in await asyncio.gather(*requests) if report is not None
+        ]
 
     def _count_fenced(self, access: GroupAccess, term: int, old_primary: str) -> int:
         return sum(
--- a/src/radishtrack/pooler/promotion.py
+++ b/src/radishtrack/pooler/promotion.py
@@ -1,4 +1,4 @@
-"""Whether a group's primary has to be replaced, and by which member."""
+"""Decides whether a group's primary has to be replaced, and by which member."""
 
 from __future__ import annotations
 
@@ -14,19 +14,18 @@
 from radishtrack.pooler.group_access import GroupAccess
 
 UNLISTED_MS: Final = 3_500.0
-"""A primary that the store has not listed for so long is taken as gone. Entries are
-back about 2 s after an outage, and a member that is gone may get no work after 7 s."""
+"""Time after which a primary that the store does not list counts as removed. Entries
+return about 2 s after an outage, and a removed member may get no work after 7 s."""
 STALLED_MS: Final = 1_500.0
-"""A primary whose log no replica follows for so long can't commit any more; replicas
-receive within milliseconds, and a poll takes up to 0.4 s."""
+"""Time without a replica following its log after which a primary counts as unable to
+commit; replicas receive within milliseconds, and a poll takes up to 0.4 s."""
 RECEIVE_MS: Final = 500.0
-"""A replica that is asked so long after a commit has received it, if it receives at
-all."""
-LEADERLESS_MS: Final = 1_500.0
-"""A promotion that was begun is over by then, unless its node has failed."""
+"""Time after a commit by which every replica that still replicates has received it."""
+PROMOTION_UNFINISHED_MS: Final = 1_500.0
+"""Time by which a promotion that was started is over, unless its node has failed."""
 
 
-class Reason(enum.Enum):
+class PromotionReason(enum.Enum):
     """Why a primary is replaced."""
 
     UNREACHABLE = "primary does not answer"
@@ -37,27 +36,27 @@
 
     @property
     def needs_votes(self) -> bool:
-        """Whether other nodes may see it differently."""
-        return self in (Reason.UNREACHABLE, Reason.STALLED)
+        """Whether other nodes may come to a different result."""
+        return self in (PromotionReason.UNREACHABLE, PromotionReason.STALLED)
 
 
 @attrs.define
 class ReplicationProgress:
-    """Tells for how long no replica has followed the primary's log."""
+    """Tracks for how long no replica has followed the primary's log."""
 
     ahead_since_ms: float | None = None
     ahead: MemberReport | None = None
 
     def observe(self, evidence: GroupEvidence, now_ms: float) -> None:
-        """Compare the present reports; call it regularly."""
-        lead = evidence.find_report(evidence.primary)
-        if lead is None or lead.role is not Role.PRIMARY:
+        """Compare the current reports; must be called regularly."""
+        primary_report = evidence.find_report(evidence.primary)
+        if primary_report is None or primary_report.role is not Role.PRIMARY:
             self.ahead_since_ms = self.ahead = None
             return
-        is_same = self.ahead is not None and self.ahead.member == lead.member
+        is_same = self.ahead is not None and self.ahead.member == primary_report.member
         if is_same and not self._is_followed(evidence):
             return
-        self.ahead, self.ahead_since_ms = lead, now_ms
+        self.ahead, self.ahead_since_ms = primary_report, now_ms
         if self._is_followed(evidence):
             self.ahead_since_ms = self.ahead = None
 
@@ -67,19 +66,19 @@
             return 0.0
         return now_ms - self.ahead_since_ms
 
-    def is_proven(self, evidence: GroupEvidence) -> bool:
-        """Tell whether every replica was asked since, and still lacks the position."""
+    def is_stall_confirmed(self, evidence: GroupEvidence) -> bool:
+        """Return whether later reports of all replicas still lack the position."""
         since_ms = self.ahead_since_ms
         ahead = self.ahead
         if since_ms is None or ahead is None:
             return False
         replicas = evidence.members - {ahead.member}
-        asked = [evidence.observations.get(name) for name in replicas]
-        return bool(asked) and all(
+        replica_observations = [evidence.observations.get(name) for name in replicas]
+        return bool(replica_observations) and all(
             observation is not None
-            and observation.asked_ms >= since_ms + RECEIVE_MS
+            and observation.requested_ms >= since_ms + RECEIVE_MS
             and observation.report.position < ahead.position
-            for observation in asked
+            for observation in replica_observations
         )
 
     def _is_followed(self, evidence: GroupEvidence) -> bool:
@@ -91,13 +90,13 @@
         )
 
 
-def find_reason(
+def find_promotion_reason(
     access: GroupAccess,
     progress: ReplicationProgress,
-    leaderless_since_ms: float | None,
+    unfinished_since_ms: float | None,
     now_ms: float,
-) -> Reason | None:
-    """Return why the group's primary has to be replaced, as far as this node sees.
+) -> PromotionReason | None:
+    """Return why the group's primary has to be replaced, by this node's evidence.
 
     Parameters
     ----------
@@ -105,48 +104,54 @@
         The group.
     progress : ReplicationProgress
         Whether replicas follow the primary.
-    leaderless_since_ms : float or None
+    unfinished_since_ms : float or None
         Since when the group has no primary or has fenced members.
     now_ms : float
-        Present time in milliseconds.
+        Current time in milliseconds.
+
+    Returns
+    -------
+    PromotionReason or None
+        None if the primary does not have to be replaced.
     """
     evidence = access.evidence
     if evidence.term == 0:
         return None
     pool = access.primary_pool
     if (
-        leaderless_since_ms is not None
-        and now_ms - leaderless_since_ms >= LEADERLESS_MS
+        unfinished_since_ms is not None
+        and now_ms - unfinished_since_ms >= PROMOTION_UNFINISHED_MS
     ):
-        return Reason.ABANDONED
+        return PromotionReason.ABANDONED
     if pool is None:
         return None
     if not pool.is_reachable:
-        return Reason.UNREACHABLE
+        return PromotionReason.UNREACHABLE
     if pool.member.is_leaving:
-        return Reason.LEAVING
+        return PromotionReason.LEAVING
     unlisted_ms = access.unlisted_ms.get(pool.member.name)
     if unlisted_ms is not None and now_ms - unlisted_ms >= UNLISTED_MS:
-        return Reason.UNLISTED
+        return PromotionReason.UNLISTED
     needs_replicas = evidence.synchronous_replicas > 0
     is_stalled = progress.stalled_ms(now_ms) >= STALLED_MS
-    if needs_replicas and is_stalled and progress.is_proven(evidence):
-        return Reason.STALLED
+    if needs_replicas and is_stalled and progress.is_stall_confirmed(evidence):
+        return PromotionReason.STALLED
     return None
 
 
-def is_leaderless(evidence: GroupEvidence) -> bool:
-    """Tell whether nobody leads, or members wait for a promotion."""
+def is_promotion_unfinished(evidence: GroupEvidence) -> bool:
+    """Return whether the group has no primary or has members fenced for a promotion."""
     return evidence.term > 0 and (
         not evidence.primary or bool(evidence.fenced_members())
     )
 
 
-def count_needed(evidence: GroupEvidence, old_primary: str) -> int:
+def count_required_fences(evidence: GroupEvidence, old_primary: str) -> int:
     """Return how many members besides the old primary must be fenced.
 
-    A commit is acknowledged once `s` replicas have it, so all but `s - 1` replicas
-    contain every acknowledged commit, and too few are left to acknowledge another one.
+    A commit is acknowledged once `s` replicas have it. Any set of all but `s - 1`
+    replicas therefore contains every acknowledged commit, and the remaining replicas
+    are too few to acknowledge another one.
     """
     replicas = evidence.members - {old_primary}
     return max(1, len(replicas) - max(0, evidence.synchronous_replicas - 1))
@@ -168,14 +173,15 @@
     evidence : GroupEvidence
         Number of members and of synchronous replicas; members that lost their log.
     old_primary : str
-        The member that led.
+        The primary that is replaced.
     leaving : frozenset of str
-        Members that are about to stop; promoted only if no other has as long a log.
+        Members that are about to stop; one of them is promoted only if no other member
+        is as advanced.
 
     Returns
     -------
     MemberReport or None
-        None if too few members are fenced to be sure of every acknowledged commit.
+        None if too few members are fenced to contain every acknowledged commit.
     """
     complete = {
         name: report
@@ -185,12 +191,12 @@
     replicas = {
         name: report for name, report in complete.items() if name != old_primary
     }
-    needed = count_needed(evidence, old_primary)
-    # The old primary may hold commits that nobody was told of; they matter only if
-    # there are too few replicas to be sure without it.
+    needed = count_required_fences(evidence, old_primary)
+    # The old primary may have commits that were never acknowledged, so it counts only
+    # if the replicas are too few without it.
     candidates = replicas if len(replicas) >= needed else complete
     if len(candidates) < needed:
         return None
-    furthest = max(report.position for report in candidates.values())
-    holders = [r for r in candidates.values() if r.position == furthest]
-    return min(holders, key=lambda report: (report.member in leaving, report.member))
+    most_advanced = max(report.position for report in candidates.values())
+    successors = [r for r in candidates.values() if r.position == most_advanced]
+    return min(successors, key=lambda report: (report.member in leaving, report.member))
--- a/src/radishtrack/pooler/rank.py
+++ b/src/radishtrack/pooler/rank.py
@@ -1,4 +1,4 @@
-"""An order of the nodes in which they take up a duty, one after the other."""
+"""Ranks the nodes for a duty; each node waits for those before it to take the duty."""
 
 from __future__ import annotations
 
@@ -11,18 +11,23 @@
 def rank_node(
     name: str, duty: str, nodes: Iterable[NodeRecord], first: str = ""
 ) -> int:
-    """Return a node's place in the order for a duty.
+    """Return a node's rank for a duty, from 0.
 
     Parameters
     ----------
     name : str
         The node.
     duty : str
-        What has to be done; each duty has an order of its own.
+        Name that determines the order; each duty has a different one.
     nodes : iterable of NodeRecord
         All nodes.
     first : str
-        A node that comes before all others.
+        Name of a node that comes before all others.
+
+    Returns
+    -------
+    int
+        The rank; the number of nodes if the node is not among them.
     """
     names = sorted(
         (node.name for node in nodes),
--- a/src/radishtrack/pooler/report_relay.py
+++ b/src/radishtrack/pooler/report_relay.py
@@ -1,10 +1,10 @@
-"""Passes members' reports on, so that one node of the fleet polls for all.
+"""Relays members' reports, so that one node polls the members for the whole fleet.
 
-The node that holds the rates polls every member and reads the store's revision; the
-others ask it for what is new. An age is counted from before the question up to the
-answer, and its receiver dates it from before its own request, so that nothing ever
-looks younger than it is, whatever the clocks and the network do. A node that gets no
-answers asks members and store itself.
+The rate coordinator polls every member and reads the store's revision; the other nodes
+request from it what is new. The sender counts the age of a report from before its poll,
+and the receiver subtracts that age from the time of its own request. A report therefore
+never appears more recent than it is, even if clocks differ or messages are delayed. A
+node that gets no responses polls the members and the store itself.
 """
 
 from __future__ import annotations
@@ -26,23 +26,24 @@
 from radishtrack.session.position import Position
 
 RELAY_INTERVAL_MS: Final = 450.0
-"""Pause between questions; a report is up to one poll and one such pause old."""
+"""Pause between requests; a report is up to one poll interval and this pause old."""
 RELAY_TIMEOUT_MS: Final = 300.0
-"""An answer takes one round trip."""
+"""Time limit of a request, which takes one round trip."""
 
 
 @attrs.define
 class Receiver:
-    """What was passed on to one node."""
+    """Reports that were sent to one node."""
 
     number: int = 0
+    """Number of the last response."""
     sent_ms: dict[tuple[str, str], float] = attrs.field(factory=dict)
-    """When the newest report was asked for that each answer contained."""
+    """Request time of the newest report sent, by group and member."""
 
 
 @attrs.define(eq=False)
 class ReportRelay:
-    """State of one node, on either side; `run` never returns."""
+    """Sends and receives reports at one node; `run` never returns."""
 
     clock: Clock
     control: Control
@@ -55,12 +56,12 @@
     received: int = 0
 
     async def run(self) -> None:
-        """Ask for reports again and again."""
+        """Request reports periodically."""
         while True:
             await asyncio.sleep(RELAY_INTERVAL_MS / 1000)
             relay = self.find_relay()
             if relay is not None:
-                await self._ask(relay)
+                await self._poll_relay(relay)
 
     def answer(self, node: str, message: ReportsWanted) -> Reports:
         """Return the reports that a node does not have yet."""
@@ -68,7 +69,7 @@
             return Reports(message.request, 0, -1, 0, 0, 0, 0.0, ())
         receiver = self.receivers.setdefault(node, Receiver())
         if message.newer_than != receiver.number:
-            # The last answer was lost, or one of the two nodes has restarted.
+            # The last response was lost, or one of the two nodes has restarted.
             receiver.sent_ms.clear()
         receiver.number += 1
         reports = tuple(self._pack(receiver))
@@ -89,9 +90,9 @@
         for group, access in self.groups.items():
             for name, observation in access.evidence.observations.items():
                 key = (group, name)
-                if receiver.sent_ms.get(key) == observation.asked_ms:
+                if receiver.sent_ms.get(key) == observation.requested_ms:
                     continue
-                receiver.sent_ms[key] = observation.asked_ms
+                receiver.sent_ms[key] = observation.requested_ms
                 report = observation.report
                 applied = access.evidence.applied.get(name, Position(0, 0))
                 yield (
@@ -105,51 +106,53 @@
                     applied.sequence,
                     report.fenced_term,
                     report.lag_ms,
-                    now_ms - observation.asked_ms,
+                    now_ms - observation.requested_ms,
                 )
 
-    async def _ask(self, relay: NodeRecord) -> None:
+    async def _poll_relay(self, relay: NodeRecord) -> None:
         if relay.name != self.relay:
             self.relay, self.received = relay.name, 0
-        asked_ms = self.clock.now_ms()
-        answer = await self.peers.send_request(
+        requested_ms = self.clock.now_ms()
+        response = await self.peers.send_request(
             relay,
             lambda request: ReportsWanted(request, self.received),
             RELAY_TIMEOUT_MS,
         )
-        if not isinstance(answer, Reports):
+        if not isinstance(response, Reports):
             self.received = 0
             return
-        self.received = answer.number
-        if answer.number:
+        self.received = response.number
+        if response.number:
             content = CopyContent(
-                answer.revision, answer.catalog, answer.members, answer.fleet
+                response.revision, response.catalog, response.members, response.fleet
             )
-            self.control.vouch(content, asked_ms - answer.confirmed_age_ms)
-        for packed in answer.reports:
-            self._take_in(packed, asked_ms)
+            self.control.accept_confirmation(
+                content, requested_ms - response.confirmed_age_ms
+            )
+        for packed in response.reports:
+            self._apply_report(packed, requested_ms)
 
-    def _take_in(self, packed: PackedReport, asked_ms: float) -> None:
-        group, name, leads, term, term_received, received, *rest = packed
+    def _apply_report(self, packed: PackedReport, requested_ms: float) -> None:
+        group, name, is_primary, term, term_received, received, *rest = packed
         term_applied, applied, fenced_term, lag_ms, age_ms = rest
         access = self.groups.get(group)
         if access is None or name not in access.pools:
             return
         report = MemberReport(
             member=name,
-            role=Role.PRIMARY if leads else Role.REPLICA,
+            role=Role.PRIMARY if is_primary else Role.REPLICA,
             term=term,
             position=Position(term_received, received),
             fenced_term=int(fenced_term),
             lag_ms=float(lag_ms),
         )
-        report_asked_ms = asked_ms - float(age_ms)
+        report_requested_ms = requested_ms - float(age_ms)
         changed = access.evidence.observe_report(
-            report, report_asked_ms, self.clock.now_ms()
+            report, report_requested_ms, self.clock.now_ms()
         )
         if term_applied:
             position = Position(int(term_applied), int(applied))
-            access.evidence.observe_position(name, position, report_asked_ms)
+            access.evidence.observe_position(name, position, report_requested_ms)
         if changed:
             log_event(
                 Event.PRIMARY_KNOWN,
--- a/tests/pooler_world.py
+++ b/tests/pooler_world.py
@@ -179,7 +179,7 @@
             await simulation.start_node(f"edge-{number + 1}")
         for running in simulation.nodes:
             await wait_until(running.node.is_ready)
-        await wait_until(lambda: _is_served(simulation))
+        await wait_until(lambda: _is_ready(simulation))
         yield simulation
     finally:
         for running in simulation.nodes:
@@ -189,7 +189,7 @@
         await store.stop()
 
 
-def _is_served(simulation: Simulation) -> bool:
+def _is_ready(simulation: Simulation) -> bool:
     """Tell whether all nodes have evidence and the rates' holder has tokens."""
     holders = [running.node.rates.holder for running in simulation.nodes]
     tokens = [
--- a/tests/test_pooler_control.py
+++ b/tests/test_pooler_control.py
@@ -25,16 +25,16 @@
     revision: int = 1
     is_down: bool = False
     catalog_reads: int = 0
-    slow: asyncio.Event | None = None
-    lists: int = 0
+    list_gate: asyncio.Event | None = None
+    list_calls: int = 0
 
     async def list_fleet(self) -> FleetListing:
-        self.lists += 1
+        self.list_calls += 1
         if self.is_down:
             raise StoreUnavailable("list", "down", is_effect_unknown=False)
         listing = FleetListing(self.nodes, {}, {}, self.revision)
-        if self.slow is not None:
-            await self.slow.wait()
+        if self.list_gate is not None:
+            await self.list_gate.wait()
         return listing
 
     async def register_node(self, node: NodeRecord) -> None:
@@ -90,11 +90,11 @@
 ) -> None:
     """A late answer must not make a withdrawn key look current."""
     await control.confirm()
-    store.slow = asyncio.Event()
+    store.list_gate = asyncio.Event()
     asked = asyncio.create_task(control.confirm())
     await asyncio.sleep(0)
     time.advance(700.0)
-    store.slow.set()
+    store.list_gate.set()
     await asked
     assert control.age_ms() == 700.0
 
@@ -116,9 +116,11 @@
     """A copy that lacks a change is not current, whoever has read the change."""
     await control.confirm()
     time.advance(900.0)
-    control.vouch(attrs.evolve(control.content, revision=2, members=7), 1_800.0)
+    control.accept_confirmation(
+        attrs.evolve(control.content, revision=2, members=7), 1_800.0
+    )
     assert control.age_ms() == 900.0 and control.is_outdated.is_set()
-    control.vouch(control.content, 1_800.0)
+    control.accept_confirmation(control.content, 1_800.0)
     assert control.age_ms() == 100.0
 
 
@@ -127,13 +129,13 @@
 ) -> None:
     """Every node read everything again for each object that anybody wrote."""
     await control.confirm()
-    store.lists = store.catalog_reads = 0
+    store.list_calls = store.catalog_reads = 0
     time.advance(900.0)
-    control.vouch(attrs.evolve(control.content, revision=9), 1_800.0)
+    control.accept_confirmation(attrs.evolve(control.content, revision=9), 1_800.0)
     assert control.revision == 9 and control.age_ms() == 100.0
     assert not control.is_outdated.is_set()
     # A copy that is older than this one says nothing.
-    control.vouch(attrs.evolve(control.content, revision=8), 1_850.0)
+    control.accept_confirmation(attrs.evolve(control.content, revision=8), 1_850.0)
     assert control.age_ms() == 100.0
 
 
@@ -145,22 +147,24 @@
     store.nodes = (NODE, OTHER)
     await control.confirm()
     await reader.confirm()
-    store.lists = store.catalog_reads = 0
+    store.list_calls = store.catalog_reads = 0
     store.nodes, store.revision = (NODE,), 5
     store.nodes = (NODE, OTHER, attrs.evolve(OTHER, name="edge-3"))
     await reader.confirm()
     assert store.catalog_reads == 1
-    control.vouch(reader.content, 1_000.0)
-    assert control.vouched is not None and await control.confirm(control.vouched)
+    control.accept_confirmation(reader.content, 1_000.0)
+    assert control.peer_confirmation is not None and await control.confirm(
+        control.peer_confirmation
+    )
     assert control.content == reader.content and len(control.nodes) == 3
-    assert (store.lists, store.catalog_reads) == (2, 1)
+    assert (store.list_calls, store.catalog_reads) == (2, 1)
     store.catalog, store.revision = attrs.evolve(EMPTY_CATALOG, version=7), 6
     await reader.confirm()
-    store.lists = 0
-    control.vouch(reader.content, 1_000.0)
-    assert await control.confirm(control.vouched)
+    store.list_calls = 0
+    control.accept_confirmation(reader.content, 1_000.0)
+    assert await control.confirm(control.peer_confirmation)
     assert control.content == reader.content and control.catalog.version == 7
-    assert store.lists == 0
+    assert store.list_calls == 0
 
 
 async def test_a_later_revision_is_read_whole(
@@ -172,9 +176,9 @@
     await control.confirm()
     store.nodes, store.revision = (*store.nodes, attrs.evolve(OTHER, name="edge-3")), 5
     await reader.confirm()
-    control.vouch(reader.content, 1_000.0)
+    control.accept_confirmation(reader.content, 1_000.0)
     store.catalog, store.revision = attrs.evolve(EMPTY_CATALOG, version=7), 6
-    assert await control.confirm(control.vouched)
+    assert await control.confirm(control.peer_confirmation)
     assert control.revision == 6 and control.catalog.version == 7
 
 
@@ -221,21 +225,21 @@
 ) -> None:
     """Clients with a revoked key try again and again, ten times a second and node."""
     await control.confirm()
-    store.lists = 0
+    store.list_calls = 0
     for _ in range(20):
         time.advance(500.0)
         await control.refresh("revoked key")
-    assert store.lists == 1
+    assert store.list_calls == 1
     store.revision = 2
     await control.confirm()
     time.advance(1_500.0)
     await control.refresh("revoked key")
-    assert store.lists == 2
+    assert store.list_calls == 2
     store.revision, store.catalog = 3, attrs.evolve(EMPTY_CATALOG, version=7)
     await control.confirm()
     time.advance(1_500.0)
     await control.refresh("revoked key")
-    assert store.lists == 4
+    assert store.list_calls == 4
 
 
 async def test_many_unknown_names_share_the_calls(
@@ -243,8 +247,8 @@
 ) -> None:
     """Keys of many clients are revoked at once, and each is tried at every node."""
     await control.confirm()
-    store.lists = 0
+    store.list_calls = 0
     for number in range(100):
         time.advance(10.0)
         await control.refresh(f"revoked key {number}")
-    assert store.lists <= 1
+    assert store.list_calls <= 1
--- a/tests/test_pooler_evidence.py
+++ b/tests/test_pooler_evidence.py
@@ -6,13 +6,13 @@
 
 from radishtrack.group.status import Role
 from radishtrack.pooler.catalog import MemberReport
-from radishtrack.pooler.evidence import BELIEF_MS, GroupEvidence
+from radishtrack.pooler.evidence import EVIDENCE_VALID_MS, GroupEvidence
 from radishtrack.pooler.promotion import (
     RECEIVE_MS,
     STALLED_MS,
     ReplicationProgress,
     choose_successor,
-    count_needed,
+    count_required_fences,
 )
 from radishtrack.session.position import Position
 
@@ -31,11 +31,11 @@
     return MemberReport(member, term, fenced_term, role, position, 0.0)
 
 
-def make_evidence(*reports: MemberReport, asked_ms: float = 100.0) -> GroupEvidence:
+def make_evidence(*reports: MemberReport, requested_ms: float = 100.0) -> GroupEvidence:
     evidence = GroupEvidence("g")
     evidence.set_members(MEMBERS)
     for report in reports:
-        evidence.observe_report(report, asked_ms, asked_ms + 1)
+        evidence.observe_report(report, requested_ms, requested_ms + 1)
     return evidence
 
 
@@ -82,8 +82,8 @@
     """A promoter waits for exactly this time when a node does not answer."""
     evidence = make_evidence(PRIMARY, make_report("b"))
     evidence.observe_report(make_report("b"), 900.0, 901.0)
-    assert evidence.is_current(100.0 + BELIEF_MS - 1)
-    assert not evidence.is_current(100.0 + BELIEF_MS)
+    assert evidence.is_current(100.0 + EVIDENCE_VALID_MS - 1)
+    assert not evidence.is_current(100.0 + EVIDENCE_VALID_MS)
 
 
 def test_withdrawn_belief_needs_new_reports() -> None:
@@ -190,7 +190,7 @@
 ) -> None:
     """With an unknown primary, any member may be the one replica of a commit."""
     evidence = GroupEvidence("g", replicas, members=frozenset(members))
-    assert count_needed(evidence, old_primary) == needed
+    assert count_required_fences(evidence, old_primary) == needed
 
 
 def test_replication_counts_as_stalled_only_after_every_replica_was_asked() -> None:
@@ -203,12 +203,12 @@
     progress.observe(evidence, 100.0)
     late_ms = 100.0 + STALLED_MS
     progress.observe(evidence, late_ms)
-    assert not progress.is_proven(evidence)
+    assert not progress.is_stall_confirmed(evidence)
     for name in ("b", "c"):
         evidence.observe_report(make_report(name, sequence=9), late_ms, late_ms)
     progress.observe(evidence, late_ms)
     assert late_ms - 100.0 > RECEIVE_MS
-    assert progress.is_proven(evidence)
+    assert progress.is_stall_confirmed(evidence)
     evidence.observe_report(make_report("b", sequence=10), late_ms + 1, late_ms + 1)
     progress.observe(evidence, late_ms + 1)
     assert progress.stalled_ms(late_ms + 1) == 0.0
--- a/tests/test_pooler_failover.py
+++ b/tests/test_pooler_failover.py
@@ -54,10 +54,16 @@
         client = await simulation.connect(simulation.nodes[0], "orders")
         promoter = simulation.nodes[0].node.promoter
         promoter.started_ms -= DEPARTURE_MS
-        silent = await asyncio.start_server(_keep_silent, "127.0.0.1", 0)
-        async with silent:
+        unresponsive = await asyncio.start_server(
+            _read_without_responding, "127.0.0.1", 0
+        )
+        async with unresponsive:
             record = NodeRecord(
-                "edge-9", "127.0.0.1", silent.sockets[0].getsockname()[1], "oslo-a", 1
+                "edge-9",
+                "127.0.0.1",
+                unresponsive.sockets[0].getsockname()[1],
+                "oslo-a",
+                1,
             )
             await simulation.nodes[0].node.control.store.register_node(record)
             await simulation.nodes[0].node.control.confirm()
@@ -76,17 +82,17 @@
         claim = await duty.claim()
         assert claim is not None and await duty.renew(claim)
         first = claim.duty.revision
-        claim.asked_ms -= 1_500.0
+        claim.requested_ms -= 1_500.0
         assert await duty.renew(claim)
         assert claim.duty.revision > first
         await control.store.claim_duty(PROMOTION_DUTY, claim.duty, "edge-2", "other")
         await control.confirm()
-        claim.asked_ms -= 1_500.0
+        claim.requested_ms -= 1_500.0
         assert not await duty.renew(claim)
         assert control.find_duty(PROMOTION_DUTY).duty.holder == "edge-2"
 
 
-async def _keep_silent(
+async def _read_without_responding(
     reader: asyncio.StreamReader, _writer: asyncio.StreamWriter
 ) -> None:
     while await reader.read(1_000):
