--- a/src/radishtrack/pooler/peers.py
+++ b/src/radishtrack/pooler/peers.py
@@ -62,7 +62,7 @@
         Returns
         -------
         Message, NotRunning or None
-            None if the peer does not respond in time or the link is lost.
+            None if the peer can't be reached, the link is lost or the response is late.
         """
         try:
             async with asyncio.timeout(timeout_ms / 1000):
--- a/tests/pooler_world.py
+++ b/tests/pooler_world.py
@@ -1,4 +1,4 @@
-"""A small fleet in one process: store, members, nodes and clients on loopback."""
+"""Simulation of a small fleet in one process, with TCP connections on loopback."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
     statements: int = 0
 
     async def execute(self, text: str) -> list[str]:
-        """Return the lines that answer a statement; the last one is `READY`."""
+        """Run a statement and return the lines of its response, up to `READY`."""
         self.statements += 1
         self.connection.write(encode_line(f"QUERY q{self.statements} {text}"))
         lines: list[str] = []
@@ -95,7 +95,7 @@
 
 @attrs.define(eq=False)
 class Simulation:
-    """The fleet; make it with `open_simulation`."""
+    """Store, members and nodes of the fleet; construct it with `open_simulation`."""
 
     store: StandInStore
     members: dict[str, LineMember]
@@ -141,14 +141,14 @@
         return connection
 
     def promote(self, _group: str, name: str) -> int:
-        """Carry out a promotion order as the platform does."""
+        """Execute a promotion order as the platform does; return the HTTP status."""
         member = self.members[name]
         if member.server is None or not member.server.is_serving():
             return 409
-        asyncio.get_running_loop().call_later(PROMOTE_S, self._finish, member)
+        asyncio.get_running_loop().call_later(PROMOTE_S, self._finish_promotion, member)
         return 200
 
-    def _finish(self, member: LineMember) -> None:
+    def _finish_promotion(self, member: LineMember) -> None:
         member.promote()
         member.replicas = [m for m in self.members.values() if m is not member]
         for other in member.replicas:
@@ -158,7 +158,7 @@
 
 @asynccontextmanager
 async def open_simulation(nodes: int = 1) -> AsyncIterator[Simulation]:
-    """Start a store, three members and some nodes that are ready to serve."""
+    """Start a store, three members and nodes; wait until the nodes can serve."""
     store = StandInStore()
     await store.start()
     members = {
@@ -190,13 +190,13 @@
 
 
 def _is_ready(simulation: Simulation) -> bool:
-    """Tell whether all nodes have evidence and the rates' holder has tokens."""
+    """Return whether all nodes have evidence and the rate coordinator has tokens."""
     holders = [running.node.rates.holder for running in simulation.nodes]
     tokens = [
-        lent.bucket.available()
+        share.bucket.available()
         for holder in holders
         if holder is not None
-        for lent in holder.buckets.values()
+        for share in holder.buckets.values()
     ]
     if not simulation.nodes:
         return True
@@ -215,7 +215,7 @@
 
 
 async def is_closed(connection: LineConnection) -> bool:
-    """Tell whether the other side ends the connection."""
+    """Wait and return whether the other side closes the connection."""
     try:
         async with asyncio.timeout(WAIT_LIMIT_S):
             await connection.read_line()
--- a/tests/test_pooler_control.py
+++ b/tests/test_pooler_control.py
@@ -1,4 +1,4 @@
-"""Guards a node's copy of the store: how old it is, and that it only moves forward."""
+"""Tests a node's copy of the store: its age, and that it only moves forward."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @attrs.define(eq=False)
 class FakeStore:
-    """A control store whose content tests set."""
+    """A control store whose content is set by tests."""
 
     nodes: tuple[NodeRecord, ...] = (NODE,)
     catalog: Catalog | None = EMPTY_CATALOG
@@ -79,30 +79,30 @@
 
 
 async def test_a_quiet_store_costs_one_call(control: Control, store: FakeStore) -> None:
-    """The fleet shares the store's calls; nothing may be read again unchanged."""
+    """Guards against reading unchanged content again; the fleet shares the calls."""
     for _ in range(5):
         assert await control.confirm()
     assert store.catalog_reads == 1
 
 
-async def test_the_copy_is_as_old_as_the_question(
+async def test_the_age_counts_from_the_start_of_the_call(
     control: Control, store: FakeStore, time: ManualTime
 ) -> None:
-    """A late answer must not make a withdrawn key look current."""
+    """Guards against a late response that makes a revoked key appear current."""
     await control.confirm()
     store.list_gate = asyncio.Event()
-    asked = asyncio.create_task(control.confirm())
+    call = asyncio.create_task(control.confirm())
     await asyncio.sleep(0)
     time.advance(700.0)
     store.list_gate.set()
-    await asked
+    await call
     assert control.age_ms() == 700.0
 
 
-async def test_an_older_version_never_comes_back(
+async def test_an_older_version_is_never_applied(
     control: Control, store: FakeStore
 ) -> None:
-    """A configuration that was in force must not be undone by an older copy."""
+    """Guards against the replacement of a configuration in force by an older one."""
     store.catalog = attrs.evolve(EMPTY_CATALOG, version=7)
     await control.confirm()
     store.catalog, store.revision = attrs.evolve(EMPTY_CATALOG, version=6), 2
@@ -110,10 +110,10 @@
     assert control.catalog.version == 7
 
 
-async def test_another_node_vouches_for_the_same_content_only(
+async def test_another_node_confirms_equal_content_only(
     control: Control, time: ManualTime
 ) -> None:
-    """A copy that lacks a change is not current, whoever has read the change."""
+    """Guards against confirmation of a copy that lacks a change."""
     await control.confirm()
     time.advance(900.0)
     control.accept_confirmation(
@@ -127,14 +127,14 @@
 async def test_a_change_of_other_objects_costs_no_call(
     control: Control, store: FakeStore, time: ManualTime
 ) -> None:
-    """Every node read everything again for each object that anybody wrote."""
+    """Guards against reading everything again at every node after any write."""
     await control.confirm()
     store.list_calls = store.catalog_reads = 0
     time.advance(900.0)
     control.accept_confirmation(attrs.evolve(control.content, revision=9), 1_800.0)
     assert control.revision == 9 and control.age_ms() == 100.0
     assert not control.is_outdated.is_set()
-    # A copy that is older than this one says nothing.
+    # A confirmation of an earlier revision has no effect.
     control.accept_confirmation(attrs.evolve(control.content, revision=8), 1_850.0)
     assert control.age_ms() == 100.0
 
@@ -142,7 +142,7 @@
 async def test_only_what_has_changed_is_read(
     store: FakeStore, control: Control, time: ManualTime
 ) -> None:
-    """A new node or member made every node read the whole configuration again."""
+    """Guards against reading the whole configuration again for a new node or member."""
     reader = Control(store, make_manual_clock(time), OTHER, lambda: None)
     store.nodes = (NODE, OTHER)
     await control.confirm()
@@ -167,10 +167,10 @@
     assert store.list_calls == 0
 
 
-async def test_a_later_revision_is_read_whole(
+async def test_a_later_revision_is_read_completely(
     store: FakeStore, control: Control, time: ManualTime
 ) -> None:
-    """What another node has read says nothing of what was written afterwards."""
+    """A confirmation of another node does not cover what was written afterwards."""
     reader = Control(store, make_manual_clock(time), OTHER, lambda: None)
     store.nodes = (NODE, OTHER)
     await control.confirm()
@@ -182,10 +182,10 @@
     assert control.revision == 6 and control.catalog.version == 7
 
 
-async def test_a_suspended_node_asks_before_it_believes(
+async def test_a_suspended_node_must_call_the_store_first(
     control: Control, store: FakeStore, time: ManualTime
 ) -> None:
-    """A promotion may have been announced and completed meanwhile."""
+    """A promotion may have been announced and completed during the suspension."""
     await control.confirm()
     assert control.has_all_announcements(2_000.0)
     time.advance(10_000.0)
@@ -198,7 +198,7 @@
 async def test_a_removed_node_counts_until_it_must_have_stopped(
     control: Control, store: FakeStore, time: ManualTime
 ) -> None:
-    """It may use its share of the rates until it hears of its removal."""
+    """It may use its share of the rates until it learns of its removal."""
     store.nodes = (NODE, OTHER)
     await control.confirm()
     store.nodes, store.revision = (NODE,), 2
@@ -211,10 +211,10 @@
     assert control.nodes == (NODE, OTHER)
 
 
-async def test_an_outage_before_the_first_answer_is_survived(
+async def test_an_outage_before_the_first_response_is_handled(
     control: Control, store: FakeStore
 ) -> None:
-    """The age of a copy that does not exist yet ended the process on the bench."""
+    """Guards against the crash that the age of a missing copy caused in a benchmark."""
     store.is_down = True
     assert not await control.confirm()
     assert control.age_ms() == float("inf")
@@ -223,7 +223,7 @@
 async def test_an_unknown_name_costs_one_call_for_each_configuration(
     control: Control, store: FakeStore, time: ManualTime
 ) -> None:
-    """Clients with a revoked key try again and again, ten times a second and node."""
+    """Clients with a revoked key retry continually, ten times a second at each node."""
     await control.confirm()
     store.list_calls = 0
     for _ in range(20):
@@ -245,7 +245,7 @@
 async def test_many_unknown_names_share_the_calls(
     control: Control, store: FakeStore, time: ManualTime
 ) -> None:
-    """Keys of many clients are revoked at once, and each is tried at every node."""
+    """Many keys can be revoked at once, and each of them is tried at every node."""
     await control.confirm()
     store.list_calls = 0
     for number in range(100):
--- a/tests/test_pooler_evidence.py
+++ b/tests/test_pooler_evidence.py
@@ -1,4 +1,4 @@
-"""Guards what a node may conclude from the reports of a group's members."""
+"""Tests the conclusions that a node draws from the reports of a group's members."""
 
 from __future__ import annotations
 
@@ -53,10 +53,10 @@
     ],
     ids=["alone", "one replica", "fenced", "one of two fenced", "old fence"],
 )
-def test_a_term_is_believed_on_the_word_of_two_unfenced_members(
+def test_two_unfenced_members_are_evidence_of_a_term(
     others: tuple[MemberReport, ...], is_current: bool
 ) -> None:
-    """A primary that was replaced behind a cut goes on answering reads."""
+    """A primary that was replaced behind a network partition still serves reads."""
     evidence = make_evidence(PRIMARY, *others)
     assert evidence.is_current(200.0) is is_current
 
@@ -65,12 +65,13 @@
     ("replicas", "others", "is_current"),
     [(0, "", False), (0, "b", True), (2, "b", False), (2, "bc", True)],
 )
-def test_how_many_members_a_term_is_believed_on(
+def test_number_of_members_needed_as_evidence_of_a_term(
     replicas: int, others: str, is_current: bool
 ) -> None:
-    """Without synchronous replicas the word of the primary alone proved its term.
+    """Guards against evidence from the primary alone.
 
-    On the bench a primary at 1.18 served a read after commit 2.11 then.
+    Without synchronous replicas its own report used to suffice: in a benchmark, a
+    primary at 1.18 then served a read after commit 2.11.
     """
     evidence = GroupEvidence("g", replicas, members=MEMBERS)
     for report in (PRIMARY, *(make_report(name) for name in others)):
@@ -78,16 +79,16 @@
     assert evidence.is_current(200.0) is is_current
 
 
-def test_belief_ends_with_the_age_of_the_older_report() -> None:
-    """A promoter waits for exactly this time when a node does not answer."""
+def test_evidence_expires_with_the_older_report() -> None:
+    """A promoter waits for exactly this time if a node does not respond."""
     evidence = make_evidence(PRIMARY, make_report("b"))
     evidence.observe_report(make_report("b"), 900.0, 901.0)
     assert evidence.is_current(100.0 + EVIDENCE_VALID_MS - 1)
     assert not evidence.is_current(100.0 + EVIDENCE_VALID_MS)
 
 
-def test_withdrawn_belief_needs_new_reports() -> None:
-    """A node that has agreed to a promotion may not serve on earlier evidence."""
+def test_invalidated_evidence_needs_new_reports() -> None:
+    """Guards against reads on earlier evidence after a node confirmed a promotion."""
     evidence = make_evidence(PRIMARY, make_report("b"))
     evidence.invalidate(150.0)
     assert not evidence.is_current(151.0)
@@ -96,8 +97,8 @@
     assert evidence.is_current(170.0)
 
 
-def test_an_announced_promotion_needs_the_word_of_every_member() -> None:
-    """Members are taken out of their fence once a promotion has succeeded."""
+def test_an_announced_promotion_needs_reports_of_every_member() -> None:
+    """Members are unfenced after a promotion, so two reports no longer suffice."""
     evidence = make_evidence(PRIMARY, make_report("b"))
     evidence.announced_term = 2
     assert not evidence.is_current(200.0)
@@ -105,8 +106,8 @@
     assert evidence.is_current(200.0)
 
 
-def test_a_replica_that_hears_nothing_counts_while_it_is_not_fenced() -> None:
-    """A deaf replica does not know the new term, but no promotion can pass it by."""
+def test_a_replica_without_replication_counts_while_it_is_not_fenced() -> None:
+    """It does not know the new term, but a later promotion would have to fence it."""
     evidence = make_evidence(make_report("a", Role.PRIMARY, term=4))
     evidence.observe_report(make_report("b", term=3), 100.0, 101.0)
     assert evidence.is_current(200.0)
@@ -114,10 +115,11 @@
     assert not evidence.is_current(200.0)
 
 
-def test_reports_of_a_new_member_do_not_lower_what_reads_must_contain() -> None:
-    """Members that left took acknowledged commits along; new ones had less of the log.
+def test_reports_of_a_new_member_do_not_lower_the_minimum_position() -> None:
+    """Guards against stale reads after members with all commits were replaced.
 
-    On the bench a replacement at 1.114 served reads after commit 2.144.
+    The new members had less of the log: in a benchmark, one at 1.114 served reads
+    after commit 2.144.
     """
     evidence = make_evidence(
         make_report("a", Role.PRIMARY, term=2, sequence=144),
@@ -130,8 +132,8 @@
     assert min_position == Position(2, 144)
 
 
-def test_replicas_alone_tell_what_was_acknowledged() -> None:
-    """Reads with an age go on for a while when the primary is gone."""
+def test_replicas_alone_prove_what_was_acknowledged() -> None:
+    """Reads with a maximum age continue for a while after the primary has failed."""
     evidence = make_evidence(PRIMARY, make_report("b"), make_report("c"))
     evidence.observe_report(make_report("b", sequence=12), 900.0, 901.0)
     evidence.observe_report(make_report("c", sequence=11), 950.0, 951.0)
@@ -139,7 +141,7 @@
     assert evidence.find_min_position(300.0, 1_300.0) is None
 
 
-def test_a_member_that_lost_its_log_proves_nothing() -> None:
+def test_a_member_that_lost_its_log_does_not_count() -> None:
     """It may have been the only replica that received an acknowledged commit."""
     evidence = make_evidence(PRIMARY, make_report("b"), make_report("c", sequence=9))
     evidence.observe_report(make_report("b", sequence=0), 200.0, 201.0)
@@ -163,9 +165,9 @@
         ((("a", 14), ("b", 12)), (), "a"),
     ],
     ids=[
-        "furthest",
+        "most advanced",
         "staying one of two equal",
-        "leaving one is further",
+        "leaving one is more advanced",
         "too few",
         "unacknowledged commits of the old primary",
         "old primary is needed",
@@ -185,18 +187,19 @@
     ("members", "replicas", "old_primary", "needed"),
     [("abc", 1, "a", 2), ("abc", 1, "", 3), ("abcd", 1, "a", 3), ("abc", 2, "a", 1)],
 )
-def test_how_many_members_are_fenced(
+def test_number_of_members_to_fence(
     members: str, replicas: int, old_primary: str, needed: int
 ) -> None:
-    """With an unknown primary, any member may be the one replica of a commit."""
+    """With an unknown primary, any member may be the only replica of a commit."""
     evidence = GroupEvidence("g", replicas, members=frozenset(members))
     assert count_required_fences(evidence, old_primary) == needed
 
 
 def test_replication_counts_as_stalled_only_after_every_replica_was_asked() -> None:
-    """At a start the primary is known before its replicas are listed.
+    """Guards against the replacement of a healthy primary at startup.
 
-    On the bench this replaced a healthy primary before the first request.
+    The primary is known before its replicas are listed; in a benchmark it was then
+    replaced before the first request.
     """
     evidence = make_evidence(PRIMARY)
     progress = ReplicationProgress()
@@ -214,10 +217,11 @@
     assert progress.stalled_ms(late_ms + 1) == 0.0
 
 
-def test_a_node_that_never_saw_the_primary_learns_nothing_from_one_replica() -> None:
-    """The primary's entry had lapsed when the node started, so two members were listed.
+def test_one_replica_is_no_evidence_before_the_primary_was_observed() -> None:
+    """Guards against stale reads at a node that starts without the primary's entry.
 
-    On the bench a replica at 1.37 served reads after commit 1.47 (hunt-e01f-27).
+    The entry had expired, so only two members were listed: in a benchmark, a replica
+    at 1.37 served reads after commit 1.47 (hunt-e01f-27).
     """
     evidence = GroupEvidence("g")
     evidence.set_members(frozenset({"b", "c"}))
@@ -227,7 +231,7 @@
     assert evidence.find_min_position(1_000.0, 200.0) in (None, Position(1, 47))
 
 
-def test_a_member_that_lapsed_still_counts_for_what_was_acknowledged() -> None:
+def test_a_member_whose_entry_expired_still_counts_for_acknowledged_commits() -> None:
     """It may be the only replica that has the primary's last commits."""
     evidence = make_evidence(PRIMARY, make_report("b"), make_report("c"))
     evidence.set_members(frozenset({"a", "b"}))
--- a/tests/test_pooler_failover.py
+++ b/tests/test_pooler_failover.py
@@ -1,4 +1,4 @@
-"""Guards the change of primary and the outcomes that clients are told meanwhile."""
+"""Tests the change of primary and the client outcomes reported during it."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
             await asyncio.sleep(0.02)
 
 
-async def test_a_crashed_primary_is_replaced_and_loses_nothing() -> None:
-    """The promoted member must hold every acknowledged commit."""
+async def test_a_crashed_primary_is_replaced_without_loss() -> None:
+    """Guards against the promotion of a member that lacks an acknowledged commit."""
     async with open_simulation(nodes=2) as simulation:
         client = await simulation.connect(simulation.nodes[0], "orders")
         for _ in range(3):
@@ -44,11 +44,10 @@
         assert (await client.execute("READ 1"))[0] == "DATAROW i-3@2.4"
 
 
-async def test_a_promotion_outlasts_its_first_claim() -> None:
-    """A silent node and a slow store together take longer than a claim lasts.
+async def test_a_promotion_renews_its_claim() -> None:
+    """Guards against attempts that end just before the order and leave members fenced.
 
-    Attempts then ended just before the order, one after the other, and left the
-    members fenced.
+    An unresponsive node and a slow store together take longer than a claim is valid.
     """
     async with open_simulation() as simulation:
         client = await simulation.connect(simulation.nodes[0], "orders")
@@ -75,7 +74,7 @@
 
 
 async def test_a_claim_that_another_node_replaced_is_not_renewed() -> None:
-    """Renewing it would take the duty from a node that has begun a promotion."""
+    """Renewing it would take the duty from a node that has started a promotion."""
     async with open_simulation() as simulation:
         duty = simulation.nodes[0].node.promoter.duty
         control = simulation.nodes[0].node.control
@@ -100,7 +99,7 @@
 
 
 async def test_fencing_tokens_grow_with_each_promotion() -> None:
-    """The platform may not check tokens, so none may be lower than an earlier one."""
+    """The platform may not check tokens, so each must be greater than earlier ones."""
     async with open_simulation(nodes=2) as simulation:
         client = await simulation.connect(simulation.nodes[0], "orders")
         first = simulation.members["i-1"]
@@ -121,7 +120,7 @@
 
 
 async def test_no_promotion_while_another_node_reaches_the_primary() -> None:
-    """One node's bad network must not depose a healthy primary."""
+    """Guards against replacing a healthy primary because one node can't reach it."""
     async with open_simulation(nodes=2) as simulation:
         access = simulation.nodes[0].node.find_group(GROUP)
         cut_off = attrs.evolve(access.pools["i-1"].member, port=find_free_ports(1)[0])
@@ -134,7 +133,7 @@
         assert (await client.execute("WRITE 1 x"))[0].startswith("COMPLETE i-1")
 
 
-async def test_a_leaving_primary_hands_over() -> None:
+async def test_a_leaving_primary_is_replaced() -> None:
     """A member that is about to stop must get no new work after some seconds."""
     async with open_simulation(nodes=2) as simulation:
         client = await simulation.connect(simulation.nodes[0], "orders")
@@ -146,20 +145,20 @@
 
 
 async def test_no_promotion_without_the_store() -> None:
-    """Without the store a promoter can't be the only one, nor know all members."""
+    """Without the store, a promoter may not be the only one, nor know all members."""
     async with open_simulation() as simulation:
         simulation.store.faults.status = 503
         await simulation.members["i-1"].stop()
         client = await simulation.connect(simulation.nodes[0], "orders")
-        answer = await client.execute("WRITE 1 x")
-        assert answer[0].startswith("ERROR BUSY")
+        response = await client.execute("WRITE 1 x")
+        assert response[0].startswith("ERROR BUSY")
         await asyncio.sleep(1.0)
         assert simulation.store.orders == []
         assert not any(member.fenced_term for member in simulation.members.values())
 
 
-async def test_a_lost_answer_of_a_write_is_an_unknown_outcome() -> None:
-    """Saying that it did not run, or running it again, would be wrong."""
+async def test_a_lost_response_to_a_write_is_an_unknown_outcome() -> None:
+    """Guards against reporting that it did not run, and against running it again."""
     async with open_simulation() as simulation:
         client = await simulation.connect(simulation.nodes[0], "orders")
         simulation.primary.faults.lose_answers = 1
@@ -167,8 +166,8 @@
         assert simulation.primary.received == 1
 
 
-async def test_a_lost_answer_of_a_commit_is_an_unknown_outcome() -> None:
-    """The commit may have taken effect, so it is not a promise."""
+async def test_a_lost_response_to_a_commit_is_an_unknown_outcome() -> None:
+    """The commit may have taken effect, so neither outcome may be reported."""
     async with open_simulation() as simulation:
         client = await simulation.connect(simulation.nodes[0], "orders")
         await client.execute("BEGIN")
@@ -177,8 +176,8 @@
         assert (await client.execute("COMMIT"))[0].startswith("ERROR INDOUBT")
 
 
-async def test_a_lost_answer_inside_a_transaction_aborts_it() -> None:
-    """Nothing of a transaction is kept whose commit was never sent."""
+async def test_a_lost_response_inside_a_transaction_aborts_it() -> None:
+    """The commit was never sent, so the transaction must have no effect."""
     async with open_simulation() as simulation:
         client = await simulation.connect(simulation.nodes[0], "orders")
         await client.execute("BEGIN")
@@ -191,8 +190,8 @@
         assert simulation.primary.received == 0
 
 
-async def test_a_read_goes_on_at_another_member() -> None:
-    """A read changes nothing, so a lost answer must not reach the client."""
+async def test_a_read_is_retried_at_another_member() -> None:
+    """A read changes nothing, so a lost response must not reach the client."""
     async with open_simulation() as simulation:
         client = await simulation.connect(simulation.nodes[0], "status")
         for member in simulation.members.values():
@@ -201,7 +200,7 @@
 
 
 async def test_a_session_reads_its_own_write_while_replicas_lag() -> None:
-    """A replica that has not applied the session's commit must not serve it."""
+    """Guards against reads at a replica that has not applied the session's commit."""
     async with open_simulation() as simulation:
         simulation.primary.replicas_apply = False
         client = await simulation.connect(simulation.nodes[0], "receipts")
@@ -211,7 +210,7 @@
 
 
 async def test_strict_reads_need_evidence_from_two_members() -> None:
-    """A primary that was replaced behind a cut still answers reads."""
+    """A primary that was replaced behind a network partition still serves reads."""
     async with open_simulation() as simulation:
         client = await simulation.connect(simulation.nodes[0], "orders")
         for name in ("i-2", "i-3"):
@@ -237,7 +236,7 @@
 
 
 async def test_an_idle_transaction_is_rolled_back() -> None:
-    """A client that rests in a transaction must not keep a scarce connection."""
+    """Guards against idle clients in a transaction that occupy scarce connections."""
     async with open_simulation() as simulation:
         config = make_config(version=2)
         config["limits"] = {"txIdleMs": 200}
@@ -255,7 +254,7 @@
 
 
 async def test_a_leaving_primary_without_a_successor_is_not_used_for_long() -> None:
-    """It holds commits that no other member has, but may get no work after 7 s."""
+    """It has commits that no other member has, but may get no work after 7 s."""
     async with open_simulation() as simulation:
         access = simulation.nodes[0].node.find_group(GROUP)
         for name in ("i-2", "i-3"):
@@ -269,7 +268,10 @@
 
 
 async def test_a_node_starts_while_the_store_refuses_calls() -> None:
-    """The age of a copy that does not exist yet ended the process in its first log."""
+    """Guards against a crash at the first log line, which reports the age of the copy.
+
+    The copy does not exist yet then.
+    """
     async with open_simulation(nodes=0) as simulation:
         simulation.store.faults.status = 429
         running = await simulation.start_node("edge-1")
@@ -280,7 +282,7 @@
 
 
 async def test_without_synchronous_replicas_commits_need_evidence_of_the_term() -> None:
-    """A replaced primary acknowledges alone, and its commits are discarded."""
+    """A replaced primary acknowledges alone, and its commits are then discarded."""
     async with open_simulation() as simulation:
         simulation.store.put("config", "main", make_config(version=2, replicas=0))
         access = simulation.nodes[0].node.find_group(GROUP)
@@ -297,9 +299,9 @@
 
 
 async def test_a_commit_is_acknowledged_only_while_its_term_is_proven() -> None:
-    """A replaced primary can commit with a replica that lapsed from the store.
+    """A replaced primary can commit with a replica whose store entry has expired.
 
-    The promotion fences the members that are listed, so the lapsed one goes on.
+    The promotion fences only listed members, so that replica still replicates.
     """
     async with open_simulation() as simulation:
         client = await simulation.connect(simulation.nodes[0], "orders")
@@ -316,7 +318,7 @@
 
 
 async def test_a_commit_of_an_earlier_term_is_not_acknowledged() -> None:
-    """A suspended node gets the answer of a member that was replaced meanwhile."""
+    """A suspended node can get the response of a member replaced in the meantime."""
     async with open_simulation() as simulation:
         access = simulation.nodes[0].node.find_group(GROUP)
         until_ms = access.clock.now_ms() + 1_000.0
