--- a/src/radishtrack/platform/member_link.py
+++ b/src/radishtrack/platform/member_link.py
@@ -122,8 +122,8 @@
     except OSError as error:
         _abort(connection)
         # Members also reset connections beyond their limit, which proves nothing.
-        is_dead = error.errno == errno.ECONNREFUSED
-        raise LinkRefused(str(error), is_dead=is_dead) from error
+        has_no_listener = error.errno == errno.ECONNREFUSED
+        raise LinkRefused(str(error), has_no_listener=has_no_listener) from error
     except asyncio.CancelledError:
         _abort(connection)
         raise
--- a/src/radishtrack/pooler/monitor.py
+++ b/src/radishtrack/pooler/monitor.py
@@ -170,7 +170,9 @@
         # All connections are in use, so the member's state remains unknown.
         return None
     except LinkRefused as error:
-        _record_failure(access, pool, error.reason, clock.now_ms(), error.is_dead)
+        _record_failure(
+            access, pool, error.reason, clock.now_ms(), error.has_no_listener
+        )
         return None
     except LinkLost as error:
         pool.drop_idle()
@@ -227,14 +229,18 @@
 
 
 def _record_failure(
-    access: GroupAccess, pool: MemberPool, reason: str, now_ms: float, is_dead: bool
+    access: GroupAccess,
+    pool: MemberPool,
+    reason: str,
+    now_ms: float,
+    has_no_listener: bool,
 ) -> None:
     silent_ms = now_ms - pool.heard_ms
     pool.failures += 1
     is_unresponsive = (
         silent_ms >= UNREACHABLE_AFTER_MS and pool.failures >= FAILURES_TO_SUSPECT
     )
-    if not pool.is_reachable or not (is_dead or is_unresponsive):
+    if not pool.is_reachable or not (has_no_listener or is_unresponsive):
         return
     pool.is_reachable = False
     log_event(
--- a/src/radishtrack/pooler/ports.py
+++ b/src/radishtrack/pooler/ports.py
@@ -37,7 +37,7 @@
     ----------
     reason : str
         Cause of the failure.
-    is_dead : bool
+    has_no_listener : bool
         Whether the host reported that no process listens on the port.
     is_wrong_member : bool
         Whether another member or service has the address.
@@ -49,13 +49,13 @@
         self,
         reason: str,
         *,
-        is_dead: bool = False,
+        has_no_listener: bool = False,
         is_wrong_member: bool = False,
         is_full: bool = False,
     ) -> None:
         super().__init__(reason)
         self.reason = reason
-        self.is_dead = is_dead
+        self.has_no_listener = has_no_listener
         self.is_wrong_member = is_wrong_member
         self.is_full = is_full
 
