--- a/src/radishtrack/pooler/promoter.py
+++ b/src/radishtrack/pooler/promoter.py
@@ -46,7 +46,7 @@
 VOTE_RECENT_RESPONSE_MS: Final = 200.0
 """A member with a response within this time counts as alive; otherwise it is polled."""
 FENCE_ROUNDS: Final = 3
-"""Attempts to fence enough members."""
+"""Attempts to fence enough members, since some may not respond to the first."""
 FENCE_PAUSE_MS: Final = 100.0
 """Pause between these attempts."""
 CONFIRM_PROMOTION_MS: Final = 2_000.0
--- a/tests/test_pooler_evidence.py
+++ b/tests/test_pooler_evidence.py
@@ -107,7 +107,7 @@
 
 
 def test_a_replica_without_replication_counts_while_it_is_not_fenced() -> None:
-    """It does not know the new term, but a later promotion would have to fence it."""
+    """It does not know the new term, but no promotion succeeds without fencing it."""
     evidence = make_evidence(make_report("a", Role.PRIMARY, term=4))
     evidence.observe_report(make_report("b", term=3), 100.0, 101.0)
     assert evidence.is_current(200.0)
--- a/tests/test_pooler_failover.py
+++ b/tests/test_pooler_failover.py
@@ -145,7 +145,7 @@
 
 
 async def test_no_promotion_without_the_store() -> None:
-    """Without the store, a promoter may not be the only one, nor know all members."""
+    """Without the store, a promoter can't exclude others, nor know all members."""
     async with open_simulation() as simulation:
         simulation.store.faults.status = 503
         await simulation.members["i-1"].stop()
