--- a/tests/pooler_world.py
+++ b/tests/pooler_world.py
@@ -1,4 +1,4 @@
-"""A small fleet in one process: store, members, nodes and clients on loopback."""
+"""Simulation of a small fleet in one process, with TCP connections on loopback."""
 
 from __future__ import annotations
 
@@ -51,8 +51,8 @@
     connection: LineConnection
     statements: int = 0
 
-    async def ask(self, text: str) -> list[str]:
-        """Return the lines that answer a statement; the last one is `READY`."""
+    async def execute(self, text: str) -> list[str]:
+        """Run a statement and return the lines of its response, up to `READY`."""
         self.statements += 1
         self.connection.write(encode_line(f"QUERY q{self.statements} {text}"))
         lines: list[str] = []
@@ -94,8 +94,8 @@
 
 
 @attrs.define(eq=False)
-class World:
-    """The fleet; make it with `open_world`."""
+class Simulation:
+    """Store, members and nodes of the fleet; construct it with `open_simulation`."""
 
     store: StandInStore
     members: dict[str, LineMember]
@@ -141,14 +141,14 @@
         return connection
 
     def promote(self, _group: str, name: str) -> int:
-        """Carry out a promotion order as the platform does."""
+        """Execute a promotion order as the platform does; return the HTTP status."""
         member = self.members[name]
         if member.server is None or not member.server.is_serving():
             return 409
-        asyncio.get_running_loop().call_later(PROMOTE_S, self._finish, member)
+        asyncio.get_running_loop().call_later(PROMOTE_S, self._finish_promotion, member)
         return 200
 
-    def _finish(self, member: LineMember) -> None:
+    def _finish_promotion(self, member: LineMember) -> None:
         member.promote()
         member.replicas = [m for m in self.members.values() if m is not member]
         for other in member.replicas:
@@ -157,50 +157,52 @@
 
 
 @asynccontextmanager
-async def open_world(nodes: int = 1) -> AsyncIterator[World]:
-    """Start a store, three members and some nodes that are ready to serve."""
+async def open_simulation(nodes: int = 1) -> AsyncIterator[Simulation]:
+    """Start a store, three members and nodes; wait until the nodes can serve."""
     store = StandInStore()
     await store.start()
     members = {
         name: LineMember(GROUP, name, "primary" if name == "i-1" else "replica")
         for name in ("i-1", "i-2", "i-3")
     }
-    world = World(store, members)
-    store.on_order = world.promote
+    simulation = Simulation(store, members)
+    store.on_order = simulation.promote
     try:
         for member in members.values():
             await member.start()
-            world.register(member)
-        world.primary.replicas = [m for m in members.values() if m.role == "replica"]
+            simulation.register(member)
+        simulation.primary.replicas = [
+            m for m in members.values() if m.role == "replica"
+        ]
         store.put("config", "main", make_config())
         for number in range(nodes):
-            await world.start_node(f"edge-{number + 1}")
-        for running in world.nodes:
+            await simulation.start_node(f"edge-{number + 1}")
+        for running in simulation.nodes:
             await wait_until(running.node.is_ready)
-        await wait_until(lambda: _is_served(world))
-        yield world
+        await wait_until(lambda: _is_ready(simulation))
+        yield simulation
     finally:
-        for running in world.nodes:
+        for running in simulation.nodes:
             await running.stop()
         for member in members.values():
             await member.stop()
         await store.stop()
 
 
-def _is_served(world: World) -> bool:
-    """Tell whether all nodes have evidence and the rates' holder has tokens."""
-    holders = [running.node.rates.holder for running in world.nodes]
+def _is_ready(simulation: Simulation) -> bool:
+    """Return whether all nodes have evidence and the rate coordinator has tokens."""
+    holders = [running.node.rates.holder for running in simulation.nodes]
     tokens = [
-        lent.bucket.available()
+        share.bucket.available()
         for holder in holders
         if holder is not None
-        for lent in holder.buckets.values()
+        for share in holder.buckets.values()
     ]
-    if not world.nodes:
+    if not simulation.nodes:
         return True
     return min(tokens, default=0) >= MIN_TOKENS and all(
         running.node.find_group(GROUP).evidence.is_current(running.node.clock.now_ms())
-        for running in world.nodes
+        for running in simulation.nodes
     )
 
 
@@ -213,7 +215,7 @@
 
 
 async def is_closed(connection: LineConnection) -> bool:
-    """Tell whether the other side ends the connection."""
+    """Wait and return whether the other side closes the connection."""
     try:
         async with asyncio.timeout(WAIT_LIMIT_S):
             await connection.read_line()
--- a/tests/test_pooler_control.py
+++ b/tests/test_pooler_control.py
@@ -1,4 +1,4 @@
-"""Guards a node's copy of the store: how old it is, and that it only moves forward."""
+"""Tests a node's copy of the store: its age, and that it only moves forward."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 
 @attrs.define(eq=False)
 class FakeStore:
-    """A control store whose content tests set."""
+    """A control store whose content is set by tests."""
 
     nodes: tuple[NodeRecord, ...] = (NODE,)
     catalog: Catalog | None = EMPTY_CATALOG
     revision: int = 1
     is_down: bool = False
     catalog_reads: int = 0
-    slow: asyncio.Event | None = None
-    lists: int = 0
+    list_gate: asyncio.Event | None = None
+    list_calls: int = 0
 
     async def list_fleet(self) -> FleetListing:
-        self.lists += 1
+        self.list_calls += 1
         if self.is_down:
             raise StoreUnavailable("list", "down", is_effect_unknown=False)
         listing = FleetListing(self.nodes, {}, {}, self.revision)
-        if self.slow is not None:
-            await self.slow.wait()
+        if self.list_gate is not None:
+            await self.list_gate.wait()
         return listing
 
     async def register_node(self, node: NodeRecord) -> None:
@@ -79,30 +79,30 @@
 
 
 async def test_a_quiet_store_costs_one_call(control: Control, store: FakeStore) -> None:
-    """The fleet shares the store's calls; nothing may be read again unchanged."""
+    """Guards against reading unchanged content again; the fleet shares the calls."""
     for _ in range(5):
         assert await control.confirm()
     assert store.catalog_reads == 1
 
 
-async def test_the_copy_is_as_old_as_the_question(
+async def test_the_age_counts_from_the_start_of_the_call(
     control: Control, store: FakeStore, time: ManualTime
 ) -> None:
-    """A late answer must not make a withdrawn key look current."""
+    """Guards against a late response that makes a revoked key appear current."""
     await control.confirm()
-    store.slow = asyncio.Event()
-    asked = asyncio.create_task(control.confirm())
+    store.list_gate = asyncio.Event()
+    call = asyncio.create_task(control.confirm())
     await asyncio.sleep(0)
     time.advance(700.0)
-    store.slow.set()
-    await asked
+    store.list_gate.set()
+    await call
     assert control.age_ms() == 700.0
 
 
-async def test_an_older_version_never_comes_back(
+async def test_an_older_version_is_never_applied(
     control: Control, store: FakeStore
 ) -> None:
-    """A configuration that was in force must not be undone by an older copy."""
+    """Guards against the replacement of a configuration in force by an older one."""
     store.catalog = attrs.evolve(EMPTY_CATALOG, version=7)
     await control.confirm()
     store.catalog, store.revision = attrs.evolve(EMPTY_CATALOG, version=6), 2
@@ -110,91 +110,95 @@
     assert control.catalog.version == 7
 
 
-async def test_another_node_vouches_for_the_same_content_only(
+async def test_another_node_confirms_equal_content_only(
     control: Control, time: ManualTime
 ) -> None:
-    """A copy that lacks a change is not current, whoever has read the change."""
+    """Guards against confirmation of a copy that lacks a change."""
     await control.confirm()
     time.advance(900.0)
-    control.vouch(attrs.evolve(control.content, revision=2, members=7), 1_800.0)
+    control.accept_confirmation(
+        attrs.evolve(control.content, revision=2, members=7), 1_800.0
+    )
     assert control.age_ms() == 900.0 and control.is_outdated.is_set()
-    control.vouch(control.content, 1_800.0)
+    control.accept_confirmation(control.content, 1_800.0)
     assert control.age_ms() == 100.0
 
 
 async def test_a_change_of_other_objects_costs_no_call(
     control: Control, store: FakeStore, time: ManualTime
 ) -> None:
-    """Every node read everything again for each object that anybody wrote."""
+    """Guards against reading everything again at every node after any write."""
     await control.confirm()
-    store.lists = store.catalog_reads = 0
+    store.list_calls = store.catalog_reads = 0
     time.advance(900.0)
-    control.vouch(attrs.evolve(control.content, revision=9), 1_800.0)
+    control.accept_confirmation(attrs.evolve(control.content, revision=9), 1_800.0)
     assert control.revision == 9 and control.age_ms() == 100.0
     assert not control.is_outdated.is_set()
-    # A copy that is older than this one says nothing.
-    control.vouch(attrs.evolve(control.content, revision=8), 1_850.0)
+    # A confirmation of an earlier revision has no effect.
+    control.accept_confirmation(attrs.evolve(control.content, revision=8), 1_850.0)
     assert control.age_ms() == 100.0
 
 
 async def test_only_what_has_changed_is_read(
     store: FakeStore, control: Control, time: ManualTime
 ) -> None:
-    """A new node or member made every node read the whole configuration again."""
+    """Guards against reading the whole configuration again for a new node or member."""
     reader = Control(store, make_manual_clock(time), OTHER, lambda: None)
     store.nodes = (NODE, OTHER)
     await control.confirm()
     await reader.confirm()
-    store.lists = store.catalog_reads = 0
+    store.list_calls = store.catalog_reads = 0
     store.nodes, store.revision = (NODE,), 5
     store.nodes = (NODE, OTHER, attrs.evolve(OTHER, name="edge-3"))
     await reader.confirm()
     assert store.catalog_reads == 1
-    control.vouch(reader.content, 1_000.0)
-    assert control.vouched is not None and await control.confirm(control.vouched)
+    control.accept_confirmation(reader.content, 1_000.0)
+    assert control.peer_confirmation is not None and await control.confirm(
+        control.peer_confirmation
+    )
     assert control.content == reader.content and len(control.nodes) == 3
-    assert (store.lists, store.catalog_reads) == (2, 1)
+    assert (store.list_calls, store.catalog_reads) == (2, 1)
     store.catalog, store.revision = attrs.evolve(EMPTY_CATALOG, version=7), 6
     await reader.confirm()
-    store.lists = 0
-    control.vouch(reader.content, 1_000.0)
-    assert await control.confirm(control.vouched)
+    store.list_calls = 0
+    control.accept_confirmation(reader.content, 1_000.0)
+    assert await control.confirm(control.peer_confirmation)
     assert control.content == reader.content and control.catalog.version == 7
-    assert store.lists == 0
+    assert store.list_calls == 0
 
 
-async def test_a_later_revision_is_read_whole(
+async def test_a_later_revision_is_read_completely(
     store: FakeStore, control: Control, time: ManualTime
 ) -> None:
-    """What another node has read says nothing of what was written afterwards."""
+    """A confirmation of another node does not cover what was written afterwards."""
     reader = Control(store, make_manual_clock(time), OTHER, lambda: None)
     store.nodes = (NODE, OTHER)
     await control.confirm()
     store.nodes, store.revision = (*store.nodes, attrs.evolve(OTHER, name="edge-3")), 5
     await reader.confirm()
-    control.vouch(reader.content, 1_000.0)
+    control.accept_confirmation(reader.content, 1_000.0)
     store.catalog, store.revision = attrs.evolve(EMPTY_CATALOG, version=7), 6
-    assert await control.confirm(control.vouched)
+    assert await control.confirm(control.peer_confirmation)
     assert control.revision == 6 and control.catalog.version == 7
 
 
-async def test_a_suspended_node_asks_before_it_believes(
+async def test_a_suspended_node_must_call_the_store_first(
     control: Control, store: FakeStore, time: ManualTime
 ) -> None:
-    """A promotion may have been announced and completed meanwhile."""
+    """A promotion may have been announced and completed during the suspension."""
     await control.confirm()
-    assert control.knows_announcements(2_000.0)
+    assert control.has_all_announcements(2_000.0)
     time.advance(10_000.0)
-    assert not control.knows_announcements(2_000.0)
+    assert not control.has_all_announcements(2_000.0)
     store.is_down = True
     assert not await control.confirm()
-    assert control.knows_announcements(2_000.0)
+    assert control.has_all_announcements(2_000.0)
 
 
 async def test_a_removed_node_counts_until_it_must_have_stopped(
     control: Control, store: FakeStore, time: ManualTime
 ) -> None:
-    """It may use its share of the rates until it hears of its removal."""
+    """It may use its share of the rates until it learns of its removal."""
     store.nodes = (NODE, OTHER)
     await control.confirm()
     store.nodes, store.revision = (NODE,), 2
@@ -207,10 +211,10 @@
     assert control.nodes == (NODE, OTHER)
 
 
-async def test_an_outage_before_the_first_answer_is_survived(
+async def test_an_outage_before_the_first_response_is_handled(
     control: Control, store: FakeStore
 ) -> None:
-    """The age of a copy that does not exist yet ended the process on the bench."""
+    """Guards against the crash that the age of a missing copy caused in a benchmark."""
     store.is_down = True
     assert not await control.confirm()
     assert control.age_ms() == float("inf")
@@ -219,32 +223,32 @@
 async def test_an_unknown_name_costs_one_call_for_each_configuration(
     control: Control, store: FakeStore, time: ManualTime
 ) -> None:
-    """Clients with a revoked key try again and again, ten times a second and node."""
+    """Clients with a revoked key retry continually, ten times a second at each node."""
     await control.confirm()
-    store.lists = 0
+    store.list_calls = 0
     for _ in range(20):
         time.advance(500.0)
         await control.refresh("revoked key")
-    assert store.lists == 1
+    assert store.list_calls == 1
     store.revision = 2
     await control.confirm()
     time.advance(1_500.0)
     await control.refresh("revoked key")
-    assert store.lists == 2
+    assert store.list_calls == 2
     store.revision, store.catalog = 3, attrs.evolve(EMPTY_CATALOG, version=7)
     await control.confirm()
     time.advance(1_500.0)
     await control.refresh("revoked key")
-    assert store.lists == 4
+    assert store.list_calls == 4
 
 
 async def test_many_unknown_names_share_the_calls(
     control: Control, store: FakeStore, time: ManualTime
 ) -> None:
-    """Keys of many clients are revoked at once, and each is tried at every node."""
+    """Many keys can be revoked at once, and each of them is tried at every node."""
     await control.confirm()
-    store.lists = 0
+    store.list_calls = 0
     for number in range(100):
         time.advance(10.0)
         await control.refresh(f"revoked key {number}")
-    assert store.lists <= 1
+    assert store.list_calls <= 1
