--- a/benchmarks/pooler_decisions.py
+++ b/benchmarks/pooler_decisions.py
@@ -23,7 +23,7 @@
 from radishtrack.pooler.group_access import GroupAccess, make_group_access
 from radishtrack.pooler.rate_limit import RateLimiter
 from radishtrack.pooler.retry import make_attempt_plan
-from radishtrack.pooler.statements import ClientAnswer, TransactionState
+from radishtrack.pooler.statements import ClientResponse, TransactionState
 from radishtrack.session.position import Position
 
 ROUNDS = 20_000
@@ -88,7 +88,7 @@
         make_attempt_plan(route, time.value_ms)
         plan = groups[route.group].plan_read(route, Position(1, 30), owner.name)
         assert plan is not None and plan.members
-        answer = ClientAnswer(TransactionState.IDLE, ("row",), "signature")
+        answer = ClientResponse(TransactionState.IDLE, ("row",), "signature")
         format_client_answer(answer)
 
     best = min(timeit.repeat(decide, number=ROUNDS, repeat=3))
--- a/src/radishtrack/platform/member_link.py
+++ b/src/radishtrack/platform/member_link.py
@@ -20,9 +20,9 @@
 from radishtrack.pooler.catalog import Member
 from radishtrack.pooler.ports import LinkLost, LinkRefused
 from radishtrack.pooler.statements import (
-    AskStatus,
     Fence,
-    MemberAnswer,
+    GetStatus,
+    MemberResponse,
     MemberStatement,
     Refusal,
     StepDown,
@@ -30,7 +30,7 @@
 )
 from radishtrack.session.position import Position
 
-REPORTING: Final = (AskStatus, Fence, Unfence, StepDown)
+REPORTING: Final = (GetStatus, Fence, Unfence, StepDown)
 """Statements that are answered by a status row."""
 MAX_ANSWER_LINES: Final = 10_000
 """An answer with more lines is given up, which bounds its memory."""
@@ -48,14 +48,18 @@
         return self.connection.is_closed or self.connection.has_input
 
     async def run(
-        self, statement: MemberStatement, *, floor: Position | None, timeout_ms: float
-    ) -> MemberAnswer:
+        self,
+        statement: MemberStatement,
+        *,
+        min_position: Position | None,
+        timeout_ms: float,
+    ) -> MemberResponse:
         """Run a statement; see `MemberLink.run`."""
         if self.is_closed:
             self.connection.close()
             raise LinkLost("connection was closed", is_sent=False)
         try:
-            self.connection.write(encode_line(format_query(statement, floor)))
+            self.connection.write(encode_line(format_query(statement, min_position)))
             async with asyncio.timeout(timeout_ms / 1000):
                 lines = await self._read_answer()
             return parse_answer(lines, has_report=isinstance(statement, REPORTING))
--- a/src/radishtrack/platform/wire.py
+++ b/src/radishtrack/platform/wire.py
@@ -7,15 +7,16 @@
 from radishtrack.group.status import Role
 from radishtrack.pooler.catalog import MemberReport
 from radishtrack.pooler.statements import (
-    AskStatus,
     Begin,
-    ClientAnswer,
+    ClientResponse,
     ClientStatement,
     Commit,
     Deallocate,
     Discard,
     Fence,
-    MemberAnswer,
+    GetStatus,
+    InvalidStatement,
+    MemberResponse,
     MemberStatement,
     Prepare,
     Refusal,
@@ -26,7 +27,6 @@
     StepDown,
     TransactionState,
     Unfence,
-    Unintelligible,
 )
 from radishtrack.session.position import Position
 
@@ -118,10 +118,10 @@
         case ["DEALLOC", name] if name:
             return Deallocate(name)
         case _:
-            return Unintelligible(f"unknown statement {words[0][:20]!r}")
+            return InvalidStatement(f"unknown statement {words[0][:20]!r}")
 
 
-def format_client_answer(answer: ClientAnswer) -> str:
+def format_client_answer(answer: ClientResponse) -> str:
     """Return the lines that answer a client's statement."""
     lines = [f"DATAROW {row}" for row in answer.rows if answer.refusal is None]
     if answer.refusal is None:
@@ -143,17 +143,21 @@
     return f"ERROR {CODES[refusal]} {detail}"
 
 
-def format_query(statement: MemberStatement, floor: Position | None) -> str:
+def format_query(statement: MemberStatement, min_position: Position | None) -> str:
     """Return the message for a member.
 
     Parameters
     ----------
     statement : MemberStatement
         The statement.
-    floor : Position or None
+    min_position : Position or None
         Position that the member's log has to contain.
     """
-    since = f"SINCE {floor.term}.{floor.sequence} " if floor is not None else ""
+    since = (
+        f"SINCE {min_position.term}.{min_position.sequence} "
+        if min_position is not None
+        else ""
+    )
     match statement:
         case Run(statement_id, text, _):
             return f"QUERY {statement_id} {since}{text}"
@@ -173,7 +177,7 @@
             return f"QUERY {OWN_ID} PREPARE {name} {mode} {shape}"
         case Discard():
             return f"QUERY {OWN_ID} DISCARD"
-        case AskStatus():
+        case GetStatus():
             return f"QUERY {OWN_ID} STATUS"
         case Fence(term):
             return f"QUERY {OWN_ID} PAUSE {term}"
@@ -197,7 +201,7 @@
     return _STATES_BY_LETTER[words[1]], parse_position(words[2])
 
 
-def parse_answer(lines: list[str], *, has_report: bool) -> MemberAnswer:
+def parse_answer(lines: list[str], *, has_report: bool) -> MemberResponse:
     """Return a member's answer from its lines, the last of which is `READY`.
 
     Raises
@@ -214,11 +218,11 @@
         code, _, detail = rest.partition(" ")
         # A code that is not known promises nothing.
         refusal = _REFUSALS.get(code, Refusal.EXECUTION_FAILED)
-        return MemberAnswer((), "", refusal, f"{code} {detail}", state, position)
+        return MemberResponse((), "", refusal, f"{code} {detail}", state, position)
     if word != "COMPLETE":
         raise WireError(f"expected COMPLETE or ERROR, not {word[:20]!r}")
     report = parse_report(rows[0]) if has_report and rows else None
-    return MemberAnswer(rows, rest, None, "", state, position, report)
+    return MemberResponse(rows, rest, None, "", state, position, report)
 
 
 def parse_refusal(line: str) -> Refusal:
--- a/src/radishtrack/pooler/evidence.py
+++ b/src/radishtrack/pooler/evidence.py
@@ -172,10 +172,10 @@
         )
         return self.samples[oldest].position if oldest < len(self.samples) else None
 
-    def has_applied(self, member: str, floor: Position) -> bool:
+    def has_applied(self, member: str, min_position: Position) -> bool:
         """Tell whether a member is known to have applied a position."""
         applied = self.applied.get(member)
-        return applied is not None and applied >= floor
+        return applied is not None and applied >= min_position
 
     def latest_position(self) -> Position | None:
         """Return the position of the newest sample."""
--- a/src/radishtrack/pooler/execution.py
+++ b/src/radishtrack/pooler/execution.py
@@ -17,7 +17,7 @@
     NOT_RUN,
     Begin,
     Commit,
-    MemberAnswer,
+    MemberResponse,
     Prepare,
     Refusal,
     Run,
@@ -70,7 +70,7 @@
 
     Parameters
     ----------
-    answer : MemberAnswer
+    answer : MemberResponse
         The member's answer, or the refusal that the client gets.
     member : str
         The member that answered; empty if none did.
@@ -78,14 +78,14 @@
         Attempts at members; 0 if the statement was refused before.
     """
 
-    answer: MemberAnswer
+    answer: MemberResponse
     member: str = ""
     attempts: int = 0
 
 
 def refuse(refusal: Refusal, detail: str, member: str = "") -> Result:
     """Return a result that is a refusal of this node."""
-    return Result(MemberAnswer(refusal=refusal, detail=detail), member)
+    return Result(MemberResponse(refusal=refusal, detail=detail), member)
 
 
 async def prepare_link(pooled: PooledLink, request: Request) -> None:
@@ -101,15 +101,17 @@
     pooled: PooledLink,
     statement: Executable | Commit | Begin,
     *,
-    floor: Position | None,
+    min_position: Position | None,
     timeout_ms: float,
-) -> MemberAnswer:
+) -> MemberResponse:
     """Run a statement on a connection and take in what its answer shows."""
     sent_ms = access.clock.now_ms()
     loop = asyncio.get_running_loop()
     late = loop.call_later(LATE_ANSWER_MS / 1000, access.request_poll)
     try:
-        answer = await pooled.run(statement, floor=floor, timeout_ms=timeout_ms)
+        answer = await pooled.run(
+            statement, min_position=min_position, timeout_ms=timeout_ms
+        )
     except LinkLost:
         # Connections can go silent for good, and those opened before share the fate.
         pool.drop_idle()
@@ -157,7 +159,9 @@
             continue
         plan.attempts += 1
         tried.add(untried[0])
-        last = await _read_once(access, request, statement, untried[0], read_plan.floor)
+        last = await _read_once(
+            access, request, statement, untried[0], read_plan.min_position
+        )
         refusal = last.answer.refusal
         if refusal is None or refusal in (Refusal.TIMED_OUT, Refusal.MALFORMED):
             return last
@@ -193,7 +197,7 @@
     request: Request,
     statement: Executable,
     member: str,
-    floor: Position | None,
+    min_position: Position | None,
 ) -> Result:
     pool = access.pools[member]
     plan = request.plan
@@ -211,7 +215,7 @@
                 pool,
                 pooled,
                 statement,
-                floor=floor,
+                min_position=min_position,
                 timeout_ms=min(limit_ms, remaining_ms),
             )
             return Result(answer, member)
@@ -246,7 +250,7 @@
                 pool,
                 pooled,
                 statement,
-                floor=None,
+                min_position=None,
                 timeout_ms=plan.remaining_ms(access.clock.now_ms()),
             )
         return await confirm_commit(access, Result(answer, member), term)
@@ -294,6 +298,6 @@
     return Refusal.BUSY
 
 
-def is_open(answer: MemberAnswer) -> bool:
+def is_open(answer: MemberResponse) -> bool:
     """Tell whether an answer leaves its transaction usable."""
     return answer.refusal is None and answer.state is TransactionState.OPEN
--- a/src/radishtrack/pooler/group_access.py
+++ b/src/radishtrack/pooler/group_access.py
@@ -37,7 +37,7 @@
     """Where a read may run and what the member's log must contain."""
 
     members: tuple[str, ...]
-    floor: Position | None
+    min_position: Position | None
 
 
 def _assume_known(_max_age_ms: float) -> bool:
@@ -189,11 +189,11 @@
             # A later primary has every acknowledged commit, but may lack unrelated
             # ones that the position counts.
             return self._plan_current(now_ms)
-        floor = self._find_floor(route, session_position, now_ms)
-        if floor is None:
+        min_position = self._find_floor(route, session_position, now_ms)
+        if min_position is None:
             return None
-        members = rank_candidates(self._candidates(organisation, floor))
-        return ReadPlan(members, floor)
+        members = rank_candidates(self._candidates(organisation, min_position))
+        return ReadPlan(members, min_position)
 
     def plan_primary(
         self, route: Route, session_position: Position | None
@@ -204,8 +204,12 @@
             return self._plan_current(now_ms)
         if route.read_class is ReadClass.STRICT or self.primary_pool is None:
             return None
-        floor = self._find_floor(route, session_position, now_ms)
-        return ReadPlan((self.evidence.primary,), floor) if floor is not None else None
+        min_position = self._find_floor(route, session_position, now_ms)
+        return (
+            ReadPlan((self.evidence.primary,), min_position)
+            if min_position is not None
+            else None
+        )
 
     async def wait_for(self, is_met: Callable[[], bool], until_ms: float) -> bool:
         """Ask for new reports until a condition holds; return whether it does."""
@@ -259,22 +263,24 @@
     def _find_floor(
         self, route: Route, session_position: Position | None, now_ms: float
     ) -> Position | None:
-        floor = self.evidence.find_floor(route.max_age_ms, now_ms)
-        if floor is None or session_position is None:
-            return floor
-        return max(floor, session_position)
+        min_position = self.evidence.find_floor(route.max_age_ms, now_ms)
+        if min_position is None or session_position is None:
+            return min_position
+        return max(min_position, session_position)
 
     def _is_superseded(self, position: Position | None) -> bool:
         return position is not None and position.term < self.evidence.term
 
-    def _candidates(self, organisation: str, floor: Position) -> Iterator[Candidate]:
+    def _candidates(
+        self, organisation: str, min_position: Position
+    ) -> Iterator[Candidate]:
         for name, pool in self.pools.items():
             report = self.evidence.find_report(name)
             is_usable = not pool.member.is_leaving and self.may_use(name)
             if not pool.is_reachable or not is_usable or report is None:
                 continue
-            is_behind = not self.evidence.has_applied(name, floor)
-            is_far = report.position < floor or report.lag_ms > MAX_USEFUL_LAG_MS
+            is_behind = not self.evidence.has_applied(name, min_position)
+            is_far = report.position < min_position or report.lag_ms > MAX_USEFUL_LAG_MS
             yield Candidate(
                 member=name,
                 is_local=pool.member.zone == self.zone,
--- a/src/radishtrack/pooler/member_pool.py
+++ b/src/radishtrack/pooler/member_pool.py
@@ -14,7 +14,7 @@
 from radishtrack.pooler.ports import LinkLost, LinkRefused, MemberLink, OpenLink
 from radishtrack.pooler.statements import (
     Discard,
-    MemberAnswer,
+    MemberResponse,
     MemberStatement,
     Prepare,
     SetValue,
@@ -46,10 +46,16 @@
     is_in_transaction: bool = False
 
     async def run(
-        self, statement: MemberStatement, *, floor: Position | None, timeout_ms: float
-    ) -> MemberAnswer:
+        self,
+        statement: MemberStatement,
+        *,
+        min_position: Position | None,
+        timeout_ms: float,
+    ) -> MemberResponse:
         """Run a statement and note whether a transaction is open."""
-        answer = await self.link.run(statement, floor=floor, timeout_ms=timeout_ms)
+        answer = await self.link.run(
+            statement, min_position=min_position, timeout_ms=timeout_ms
+        )
         self.is_in_transaction = answer.state is not TransactionState.IDLE
         return answer
 
@@ -78,7 +84,7 @@
 
     async def _require(self, statement: MemberStatement) -> None:
         answer = await self.link.run(
-            statement, floor=None, timeout_ms=PREPARATION_TIMEOUT_MS
+            statement, min_position=None, timeout_ms=PREPARATION_TIMEOUT_MS
         )
         if answer.refusal is not None:
             self.link.close()
@@ -108,7 +114,7 @@
     idle: list[PooledLink] = attrs.field(factory=list)
     busy: set[PooledLink] = attrs.field(factory=set)
     service_ms: float = 10.0
-    heard_ms: float = 0.0
+    last_response_ms: float = 0.0
     """When the member last answered anything."""
     is_reachable: bool = True
     polled_ms: float = 0.0
@@ -187,7 +193,7 @@
 
     def note_answer(self, started_ms: float, now_ms: float) -> None:
         """Record an answered statement and how long it took."""
-        self.heard_ms = now_ms
+        self.last_response_ms = now_ms
         self.service_ms += SERVICE_SMOOTHING * (now_ms - started_ms - self.service_ms)
 
     def set_limit(self, connections: int) -> None:
@@ -226,7 +232,7 @@
         finally:
             self.opening -= 1
         link.watch_end(self.on_link_end)
-        self.heard_ms = self.clock.now_ms()
+        self.last_response_ms = self.clock.now_ms()
         return PooledLink(link, organisation)
 
     def _find_idle(
@@ -258,5 +264,5 @@
 ) -> MemberPool:
     """Return a pool without connections."""
     pool = MemberPool(member, open_link, clock, make_gate(clock, connections))
-    pool.heard_ms = clock.now_ms()
+    pool.last_response_ms = clock.now_ms()
     return pool
--- a/src/radishtrack/pooler/monitor.py
+++ b/src/radishtrack/pooler/monitor.py
@@ -19,7 +19,7 @@
 from radishtrack.pooler.member_pool import MemberPool
 from radishtrack.pooler.ports import LinkLost, LinkRefused
 from radishtrack.pooler.statements import (
-    AskStatus,
+    GetStatus,
     MemberStatement,
     Refusal,
     StepDown,
@@ -101,7 +101,7 @@
     async def poll(self, pool: MemberPool) -> None:
         """Ask for one report and act on what it shows."""
         pool.polled_ms = self.clock.now_ms()
-        report = await self._ask(pool, AskStatus())
+        report = await self._ask(pool, GetStatus())
         if report is None:
             return
         correction = find_correction(self.access, report)
@@ -141,7 +141,7 @@
     pool : MemberPool
         The member's connections.
     statement : MemberStatement
-        `AskStatus`, `Fence`, `Unfence` or `StepDown`.
+        `GetStatus`, `Fence`, `Unfence` or `StepDown`.
     organisation : str
         For a connection that has to be opened.
     clock : Clock
@@ -157,7 +157,7 @@
         async with pool.lease_any(organisation, asked_ms + STATUS_TIMEOUT_MS) as pooled:
             sent_ms = clock.now_ms()
             answer = await pooled.run(
-                statement, floor=None, timeout_ms=STATUS_TIMEOUT_MS
+                statement, min_position=None, timeout_ms=STATUS_TIMEOUT_MS
             )
     except RequestError:
         # All connections are in use, which says nothing about the member.
@@ -212,7 +212,7 @@
 
 
 def _note_heard(access: GroupAccess, pool: MemberPool, now_ms: float) -> None:
-    pool.heard_ms = now_ms
+    pool.last_response_ms = now_ms
     pool.failures = 0
     if not pool.is_reachable:
         pool.is_reachable = True
@@ -222,7 +222,7 @@
 def _note_failure(
     access: GroupAccess, pool: MemberPool, reason: str, now_ms: float, is_dead: bool
 ) -> None:
-    silent_ms = now_ms - pool.heard_ms
+    silent_ms = now_ms - pool.last_response_ms
     pool.failures += 1
     is_silent = silent_ms >= SILENCE_MS and pool.failures >= FAILURES_TO_SUSPECT
     if not pool.is_reachable or not (is_dead or is_silent):
--- a/src/radishtrack/pooler/ports.py
+++ b/src/radishtrack/pooler/ports.py
@@ -9,7 +9,7 @@
 import attrs
 
 from radishtrack.pooler.catalog import Catalog, Member, NodeRecord
-from radishtrack.pooler.statements import MemberAnswer, MemberStatement
+from radishtrack.pooler.statements import MemberResponse, MemberStatement
 from radishtrack.session.position import Position
 
 
@@ -68,15 +68,19 @@
         """Whether the connection has ended."""
 
     async def run(
-        self, statement: MemberStatement, *, floor: Position | None, timeout_ms: float
-    ) -> MemberAnswer:
+        self,
+        statement: MemberStatement,
+        *,
+        min_position: Position | None,
+        timeout_ms: float,
+    ) -> MemberResponse:
         """Run a statement and return its complete answer.
 
         Parameters
         ----------
         statement : MemberStatement
             The statement.
-        floor : Position or None
+        min_position : Position or None
             For reads and `Begin`: the member refuses if its log lacks this position.
         timeout_ms : float
             Longest wait for the answer in milliseconds.
--- a/src/radishtrack/pooler/promoter.py
+++ b/src/radishtrack/pooler/promoter.py
@@ -30,7 +30,7 @@
 )
 from radishtrack.pooler.promotion_duty import PromotionDuty
 from radishtrack.pooler.rank import rank_node
-from radishtrack.pooler.statements import AskStatus, Fence, MemberStatement, Unfence
+from radishtrack.pooler.statements import Fence, GetStatus, MemberStatement, Unfence
 from radishtrack.pooler.tasks import start_task
 
 CHECK_INTERVAL_MS: Final = 100.0
@@ -133,12 +133,12 @@
             return True
         if watched is not None and watched.reason_since_ms is not None:
             return True
-        if self.clock.now_ms() - pool.heard_ms <= VOTE_SILENCE_MS:
+        if self.clock.now_ms() - pool.last_response_ms <= VOTE_SILENCE_MS:
             return False
         # An idle member is not heard of; only a question tells whether it lives.
         try:
             async with asyncio.timeout(VOTE_POLL_MS / 1000):
-                (report,) = await self._ask_all(access, [member], AskStatus()) or (
+                (report,) = await self._ask_all(access, [member], GetStatus()) or (
                     None,
                 )
         except TimeoutError:
@@ -294,7 +294,7 @@
     ) -> dict[str, MemberReport]:
         """Ask again, because a member that restarts forgets that it is fenced."""
         names = [name for name in access.pools if name != old_primary]
-        reports = await self._ask_all(access, names, AskStatus())
+        reports = await self._ask_all(access, names, GetStatus())
         return {
             report.member: report for report in reports if report.fenced_term >= term
         }
@@ -306,7 +306,7 @@
     async def _await_primary(self, access: GroupAccess, member: str, term: int) -> bool:
         until_ms = self.clock.now_ms() + CONFIRM_PROMOTION_MS
         while self.clock.now_ms() < until_ms:
-            (report,) = await self._ask_all(access, [member], AskStatus()) or (None,)
+            (report,) = await self._ask_all(access, [member], GetStatus()) or (None,)
             leads = report is not None and report.role is Role.PRIMARY
             if leads and report is not None and report.term >= term:
                 return True
--- a/src/radishtrack/pooler/rate_exchange.py
+++ b/src/radishtrack/pooler/rate_exchange.py
@@ -49,7 +49,7 @@
     peers: Peers
     succession: HolderSuccession
     limiter: RateLimiter = attrs.field(factory=RateLimiter)
-    holder: ShareHolder | None = None
+    coordinator: ShareHolder | None = None
     """This node's state as holder, while it is that."""
     epoch: int = 0
     reply: int = 0
@@ -72,8 +72,8 @@
         organisations = self.control.catalog.organisations
         self.limiter.configure(organisations, nodes, now_ms)
         self.follow_duty()
-        if self.holder is not None:
-            self.holder.configure(organisations, now_ms)
+        if self.coordinator is not None:
+            self.coordinator.configure(organisations, now_ms)
 
     async def admit(self, organisation: str, wait_ms: float) -> bool:
         """Use one token of an organisation, and wait for it up to `wait_ms`."""
@@ -98,7 +98,7 @@
         """Answer a node, as holder."""
         now_ms = self.clock.now_ms()
         self.heard_ms[node] = now_ms
-        holder = self.holder
+        holder = self.coordinator
         age_ms = self.control.age_ms()
         if holder is None:
             return SharesGranted(message.request, 0, NOTHING_LENT, (), age_ms)
@@ -118,9 +118,9 @@
     def take_back(self, node: str, message: SharesReturned) -> SharesGranted:
         """End a node's loan, because it lends to another holder from now on."""
         epoch = 0
-        if self.holder is not None:
-            self.holder.forget(node)
-            epoch = self.holder.epoch
+        if self.coordinator is not None:
+            self.coordinator.forget(node)
+            epoch = self.coordinator.epoch
         age_ms = self.control.age_ms()
         return SharesGranted(message.request, epoch, NOTHING_LENT, (), age_ms)
 
@@ -134,19 +134,20 @@
 
     def is_holder(self) -> bool:
         """Tell whether this node is the holder."""
-        return self.holder is not None
+        return self.coordinator is not None
 
     def list_silent_nodes(self) -> tuple[str, ...]:
         """Return the registered nodes that this holder has not heard of for long."""
         # A holder that was out of touch may have been replaced without knowing it.
-        if self.holder is None or self.control.age_ms() >= COPY_LIMIT_MS:
+        if self.coordinator is None or self.control.age_ms() >= COPY_LIMIT_MS:
             return ()
         before_ms = self.clock.now_ms() - SILENT_NODE_MS
         return tuple(
             node.name
             for node in self.control.registered
             if node.name != self.name
-            and max(self.holder.since_ms, self.heard_ms.get(node.name, 0.0)) < before_ms
+            and max(self.coordinator.since_ms, self.heard_ms.get(node.name, 0.0))
+            < before_ms
         )
 
     async def run(self) -> None:
@@ -258,9 +259,9 @@
         """Begin or end this node's time as holder, by the duty's record."""
         duty = self.control.find_duty(RATES_DUTY).duty
         if duty.holder != self.name:
-            self.holder = None
-        elif self.holder is None or self.holder.epoch != duty.revision:
-            self.holder = make_share_holder(duty.revision, self.clock.now_ms())
+            self.coordinator = None
+        elif self.coordinator is None or self.coordinator.epoch != duty.revision:
+            self.coordinator = make_share_holder(duty.revision, self.clock.now_ms())
 
 
 def make_rate_exchange(
--- a/src/radishtrack/pooler/session.py
+++ b/src/radishtrack/pooler/session.py
@@ -21,10 +21,11 @@
 from radishtrack.pooler.retry import make_attempt_plan
 from radishtrack.pooler.statements import (
     Begin,
-    ClientAnswer,
+    ClientResponse,
     ClientStatement,
     Commit,
     Deallocate,
+    InvalidStatement,
     Prepare,
     Refusal,
     Rollback,
@@ -32,7 +33,6 @@
     RunPrepared,
     SetValue,
     TransactionState,
-    Unintelligible,
 )
 from radishtrack.pooler.transaction import Transaction
 from radishtrack.session.position import Position
@@ -132,7 +132,7 @@
             return TransactionState.FAILED
         return TransactionState.OPEN
 
-    async def handle(self, statement: ClientStatement) -> ClientAnswer:
+    async def handle(self, statement: ClientStatement) -> ClientResponse:
         """Run one statement and return its answer."""
         denied = self._check_access()
         if denied is not None:
@@ -142,7 +142,7 @@
             self.must_close = True
             return self._refuse(denied.refusal, denied.detail)
         match statement:
-            case Unintelligible(reason):
+            case InvalidStatement(reason):
                 return self._refuse(Refusal.MALFORMED, reason)
             case Rollback():
                 await self.close()
@@ -184,7 +184,7 @@
             self.access = access
         return None
 
-    async def _begin(self, statement: Begin) -> ClientAnswer:
+    async def _begin(self, statement: Begin) -> ClientResponse:
         if self.transaction is not None:
             return self._refuse(Refusal.MALFORMED, "a transaction is open already")
         access = self._current_access()
@@ -194,7 +194,7 @@
         self.transaction = Transaction(group, statement.is_read_only)
         return self._complete()
 
-    async def _commit(self, statement: Commit) -> ClientAnswer:
+    async def _commit(self, statement: Commit) -> ClientResponse:
         transaction = self.transaction
         if transaction is None:
             return self._refuse(Refusal.MALFORMED, "no transaction is open")
@@ -210,7 +210,7 @@
             self._note_commit(access.route.group, result)
         return self._answer(statement.statement_id, "commit", result, arrived_ms)
 
-    async def _execute(self, statement: Run | RunPrepared) -> ClientAnswer:
+    async def _execute(self, statement: Run | RunPrepared) -> ClientResponse:
         access = self._current_access()
         prepare: Prepare | None = None
         executable: Executable = statement
@@ -242,7 +242,7 @@
         step = "write" if is_write else "read"
         return self._answer(statement.statement_id, step, result, arrived_ms)
 
-    def _set_value(self, name: str, value: str) -> ClientAnswer:
+    def _set_value(self, name: str, value: str) -> ClientResponse:
         if name not in self.values and len(self.values) >= MAX_VALUES:
             return self._fail(Refusal.MALFORMED, "too many session values")
         # A connection that runs a transaction gets the new value with its next
@@ -250,7 +250,7 @@
         self.values = {**self.values, name: value}
         return self._complete()
 
-    def _prepare(self, statement: Prepare) -> ClientAnswer:
+    def _prepare(self, statement: Prepare) -> ClientResponse:
         if statement.name not in self.prepared and len(self.prepared) >= MAX_PREPARED:
             return self._fail(Refusal.MALFORMED, "too many prepared statements")
         # Names collide between clients; the same statement has one name at members.
@@ -275,7 +275,7 @@
         wait_ms = ADMISSION_OBJECTIVES * access.route.objective_ms
         return await self.context.admit(access.organisation, wait_ms)
 
-    def _refuse_over_rate(self, statement_id: str, step: str) -> ClientAnswer:
+    def _refuse_over_rate(self, statement_id: str, step: str) -> ClientResponse:
         result = refuse(Refusal.BUSY, "the organisation is over its rate")
         arrived_ms = self.context.clock.now_ms()
         return self._answer(statement_id, step, result, arrived_ms)
@@ -288,20 +288,20 @@
 
     def _answer(
         self, statement_id: str, step: str, result: Result, arrived_ms: float
-    ) -> ClientAnswer:
+    ) -> ClientResponse:
         self.context.observe(self, statement_id, step, result, arrived_ms)
         answer = result.answer
-        return ClientAnswer(
+        return ClientResponse(
             self.state, answer.rows, answer.signature, answer.refusal, answer.detail
         )
 
-    def _complete(self) -> ClientAnswer:
-        return ClientAnswer(self.state)
+    def _complete(self) -> ClientResponse:
+        return ClientResponse(self.state)
 
-    def _refuse(self, refusal: Refusal, detail: str) -> ClientAnswer:
-        return ClientAnswer(self.state, refusal=refusal, detail=detail)
+    def _refuse(self, refusal: Refusal, detail: str) -> ClientResponse:
+        return ClientResponse(self.state, refusal=refusal, detail=detail)
 
-    def _fail(self, refusal: Refusal, detail: str) -> ClientAnswer:
+    def _fail(self, refusal: Refusal, detail: str) -> ClientResponse:
         """Refuse a statement; an open transaction fails with it."""
         if self.transaction is not None:
             self.transaction.has_failed = True
--- a/src/radishtrack/pooler/statements.py
+++ b/src/radishtrack/pooler/statements.py
@@ -126,7 +126,7 @@
 
 
 @attrs.frozen
-class AskStatus:
+class GetStatus:
     """Asks a member for its report."""
 
 
@@ -150,7 +150,7 @@
 
 
 @attrs.frozen
-class Unintelligible:
+class InvalidStatement:
     """A statement of a client that can't be understood."""
 
     reason: str
@@ -165,7 +165,7 @@
     | SetValue
     | Prepare
     | Deallocate
-    | Unintelligible
+    | InvalidStatement
 )
 MemberStatement = (
     Begin
@@ -176,7 +176,7 @@
     | SetValue
     | Prepare
     | Discard
-    | AskStatus
+    | GetStatus
     | Fence
     | Unfence
     | StepDown
@@ -184,7 +184,7 @@
 
 
 @attrs.frozen
-class MemberAnswer:
+class MemberResponse:
     """A member's complete answer to one statement.
 
     Parameters
@@ -202,7 +202,7 @@
     position : Position or None
         End of the member's log.
     report : MemberReport or None
-        For `AskStatus`, `Fence`, `Unfence` and `StepDown`.
+        For `GetStatus`, `Fence`, `Unfence` and `StepDown`.
     """
 
     rows: tuple[str, ...] = ()
@@ -215,7 +215,7 @@
 
 
 @attrs.frozen
-class ClientAnswer:
+class ClientResponse:
     """The answer to a client's statement."""
 
     state: TransactionState
--- a/src/radishtrack/pooler/transaction.py
+++ b/src/radishtrack/pooler/transaction.py
@@ -103,7 +103,7 @@
                 self.pool,
                 self.pooled,
                 statement,
-                floor=None,
+                min_position=None,
                 timeout_ms=request.plan.remaining_ms(self.access.clock.now_ms()),
             )
         except LinkLost as error:
@@ -131,7 +131,9 @@
         if pooled.link.is_closed:
             return
         try:
-            await pooled.run(Rollback(), floor=None, timeout_ms=ROLLBACK_TIMEOUT_MS)
+            await pooled.run(
+                Rollback(), min_position=None, timeout_ms=ROLLBACK_TIMEOUT_MS
+            )
         except LinkLost:
             pooled.link.close()
 
@@ -147,7 +149,7 @@
                     self.pool,
                     self.pooled,
                     statement,
-                    floor=None,
+                    min_position=None,
                     timeout_ms=plan.remaining_ms(self.access.clock.now_ms()),
                 )
             except LinkLost as error:
@@ -177,7 +179,7 @@
                 Refusal.BUSY, "no member can start the transaction"
             )
             for member in read_plan.members:
-                refused = await self._begin_at(member, request, read_plan.floor)
+                refused = await self._begin_at(member, request, read_plan.min_position)
                 if refused is None:
                     return None
                 if not plan.may_retry(self.access.clock.now_ms()):
@@ -196,7 +198,7 @@
         )
 
     async def _begin_at(
-        self, member: str, request: Request, floor: Position | None
+        self, member: str, request: Request, min_position: Position | None
     ) -> Result | None:
         pool = self.access.pools.get(member)
         if pool is None or not pool.is_reachable or not self.access.may_use(member):
@@ -214,7 +216,7 @@
                 pool,
                 pooled,
                 Begin(self.is_read_only),
-                floor=floor,
+                min_position=min_position,
                 timeout_ms=request.plan.remaining_ms(self.access.clock.now_ms()),
             )
         except RequestError as error:
--- a/tests/pooler_world.py
+++ b/tests/pooler_world.py
@@ -189,12 +189,12 @@
 
 def _is_served(world: World) -> bool:
     """Tell whether all nodes have evidence and the rates' holder has tokens."""
-    holders = [running.node.rates.holder for running in world.nodes]
+    coordinators = [running.node.rates.coordinator for running in world.nodes]
     tokens = [
         lent.bucket.available()
-        for holder in holders
-        if holder is not None
-        for lent in holder.buckets.values()
+        for coordinator in coordinators
+        if coordinator is not None
+        for lent in coordinator.buckets.values()
     ]
     if not world.nodes:
         return True
--- a/tests/test_pooler_evidence.py
+++ b/tests/test_pooler_evidence.py
@@ -126,8 +126,8 @@
     evidence.set_members(frozenset({"d", "e"}))
     evidence.observe_report(make_report("d", term=2, sequence=114), 400.0, 401.0)
     evidence.observe_report(make_report("e", term=1, sequence=114), 400.0, 401.0)
-    floor = evidence.find_floor(1_000.0, 500.0)
-    assert floor == Position(2, 144)
+    min_position = evidence.find_floor(1_000.0, 500.0)
+    assert min_position == Position(2, 144)
 
 
 def test_replicas_alone_tell_what_was_acknowledged() -> None:
--- a/tests/test_pooler_rates.py
+++ b/tests/test_pooler_rates.py
@@ -129,7 +129,9 @@
         others = [n.node for n in world.nodes if n.node is not first]
         await wait_until(lambda: all(other.rates.reply > 0 for other in others))
         store, first.control.store = first.control.store, UnreachableStore()
-        pause_ms = await find_longest_pause(others[0], lambda: not first.rates.holder)
+        pause_ms = await find_longest_pause(
+            others[0], lambda: not first.rates.coordinator
+        )
         first.control.store = store
         assert any(other.rates.is_holder() for other in others)
         assert pause_ms <= PAUSE_LIMIT_MS
@@ -193,8 +195,8 @@
         assert limiter.lent_until_ms > other.clock.now_ms()
         await other.rates.return_shares()
         assert limiter.lent_until_ms <= other.clock.now_ms()
-        assert holder.rates.holder is not None
-        assert other.options.node.name not in holder.rates.holder.borrowers
+        assert holder.rates.coordinator is not None
+        assert other.options.node.name not in holder.rates.coordinator.borrowers
 
 
 async def test_the_share_of_a_node_that_is_gone_goes_to_the_others() -> None:
@@ -221,8 +223,8 @@
     async with open_world(nodes=2) as world:
         holder = world.nodes[find_holder(world)].node
         rates, control = holder.rates, holder.control
-        assert rates.holder is not None
-        rates.holder.since_ms = holder.clock.now_ms() - 10_000.0
+        assert rates.coordinator is not None
+        rates.coordinator.since_ms = holder.clock.now_ms() - 10_000.0
         rates.heard_ms.clear()
         assert len(rates.list_silent_nodes()) == 1
         control.confirmed_ms = holder.clock.now_ms() - 3_000.0
--- a/tests/test_pooler_wire.py
+++ b/tests/test_pooler_wire.py
@@ -25,16 +25,16 @@
 from radishtrack.pooler.catalog import ReadClass, digest_key
 from radishtrack.pooler.statements import (
     Begin,
-    ClientAnswer,
+    ClientResponse,
     Commit,
     Fence,
+    InvalidStatement,
     Prepare,
     Refusal,
     Run,
     RunPrepared,
     SetValue,
     TransactionState,
-    Unintelligible,
 )
 from radishtrack.session.position import Position
 from tests.pooler_world import KEY, make_config
@@ -62,7 +62,7 @@
 )
 def test_other_words_never_reach_a_member(text: str) -> None:
     """A client could otherwise fence or step down members."""
-    assert isinstance(parse_query(f"QUERY q {text}"), Unintelligible)
+    assert isinstance(parse_query(f"QUERY q {text}"), InvalidStatement)
 
 
 @pytest.mark.parametrize("line", ["", "HELLO", "QUERY", "QUERY q", "QUERY q "])
@@ -123,7 +123,7 @@
 
 def test_an_error_text_stays_on_one_line() -> None:
     """A line break in a message would look like an answer of its own."""
-    answer = ClientAnswer(
+    answer = ClientResponse(
         TransactionState.IDLE, refusal=Refusal.BUSY, detail="a\r\nREADY I -"
     )
     assert format_client_answer(answer) == "ERROR BUSY a READY I -\r\nREADY I -"
