--- a/src/radishtrack/pooler/execution.py
+++ b/src/radishtrack/pooler/execution.py
@@ -1,4 +1,4 @@
-"""Runs single statements on a group's members and resolves what became of them."""
+"""Runs single statements on a group's members and determines their outcome."""
 
 from __future__ import annotations
 
@@ -27,34 +27,34 @@
 from radishtrack.session.position import Position
 
 READ_ATTEMPT_OBJECTIVES: Final = 2.5
-"""A read that takes longer than so many latency objectives is tried at another member:
-its connection may have gone silent."""
+"""Timeout of a read at one member, in latency objectives. The connection may be
+unresponsive, so the read is retried at another member."""
 MIN_READ_ATTEMPT_MS: Final = 300.0
-"""Shortest time that a read gets at one member."""
+"""Lower bound of that timeout."""
 CONFIRM_MS: Final = 300.0
 """Wait for evidence after a commit; two polls take a few milliseconds."""
-LATE_ANSWER_MS: Final = 250.0
-"""A statement that runs for so long is a reason to ask whether the member is alive."""
+LATE_RESPONSE_MS: Final = 250.0
+"""A statement without a response for this long triggers a poll of the member."""
 
 Executable = Run | RunPrepared
 
 
 @attrs.frozen
 class Request:
-    """What a statement runs with.
+    """The session's settings for one statement.
 
     Parameters
     ----------
     organisation : str
-        Organisation that members are told.
+        Organisation name that is sent to members.
     route : Route
         Route of the session's database.
     values : dict
         Session values.
     prepare : Prepare or None
-        For a prepared statement: what the connection must have prepared.
+        For a prepared statement: its definition, which the connection must have.
     plan : AttemptPlan
-        Deadlines.
+        Deadlines and number of attempts.
     """
 
     organisation: str
@@ -66,30 +66,30 @@
 
 @attrs.frozen
 class Result:
-    """What became of a statement.
+    """Outcome of a statement.
 
     Parameters
     ----------
-    answer : MemberResponse
-        The member's answer, or the refusal that the client gets.
+    response : MemberResponse
+        The member's response, or a refusal of this node.
     member : str
-        The member that answered; empty if none did.
+        Member of the response or of the failed attempt; empty if none was tried.
     attempts : int
-        Attempts at members; 0 if the statement was refused before.
+        Attempts at members; 0 if the statement was refused before the first.
     """
 
-    answer: MemberResponse
+    response: MemberResponse
     member: str = ""
     attempts: int = 0
 
 
-def refuse(refusal: Refusal, detail: str, member: str = "") -> Result:
-    """Return a result that is a refusal of this node."""
+def make_refusal(refusal: Refusal, detail: str, member: str = "") -> Result:
+    """Return the result of a statement that this node refuses."""
     return Result(MemberResponse(refusal=refusal, detail=detail), member)
 
 
 async def prepare_link(pooled: PooledLink, request: Request) -> None:
-    """Give a connection the session's values and prepared statement."""
+    """Apply the session's values and prepare the statement on a connection."""
     await pooled.apply_values(request.values)
     if request.prepare is not None:
         await pooled.ensure_prepared(request.prepare)
@@ -104,29 +104,29 @@
     min_position: Position | None,
     timeout_ms: float,
 ) -> MemberResponse:
-    """Run a statement on a connection and take in what its answer shows."""
+    """Run a statement on a connection and record the evidence in its response."""
     sent_ms = access.clock.now_ms()
     loop = asyncio.get_running_loop()
-    late = loop.call_later(LATE_ANSWER_MS / 1000, access.request_poll)
+    late_timer = loop.call_later(LATE_RESPONSE_MS / 1000, access.request_poll)
     try:
-        answer = await pooled.run(
+        response = await pooled.run(
             statement, min_position=min_position, timeout_ms=timeout_ms
         )
     except LinkLost:
-        # Connections can go silent for good, and those opened before share the fate.
+        # The connection may be unresponsive permanently, and the idle ones with it.
         pool.drop_idle()
         access.request_poll()
         raise
     finally:
-        late.cancel()
-    pool.note_answer(sent_ms, access.clock.now_ms())
-    if answer.position is not None:
-        access.evidence.observe_position(pool.member.name, answer.position, sent_ms)
-    if answer.refusal is Refusal.READ_ONLY:
+        late_timer.cancel()
+    pool.record_response(sent_ms, access.clock.now_ms())
+    if response.position is not None:
+        access.evidence.observe_position(pool.member.name, response.position, sent_ms)
+    if response.refusal is Refusal.READ_ONLY:
         access.request_poll()
-    if answer.refusal is Refusal.NO_STATEMENT:
+    if response.refusal is Refusal.NO_STATEMENT:
         pooled.prepared.clear()
-    return answer
+    return response
 
 
 async def run_read(
@@ -135,13 +135,13 @@
     statement: Executable,
     session_position: Position | None,
 ) -> Result:
-    """Run a read outside a transaction, at another member if one refuses.
+    """Run a read outside a transaction, retrying at other members.
 
-    A read changes nothing, so it may be repeated whatever became of it.
+    A read has no effects, so it may be repeated even if its outcome is unknown.
     """
     plan = request.plan
-    tried: set[str] = set()
-    last = refuse(Refusal.BUSY, "no member can serve the read")
+    attempted: set[str] = set()
+    last_result = make_refusal(Refusal.BUSY, "no member can serve the read")
 
     def find_plan() -> ReadPlan | None:
         return access.plan_read(request.route, session_position, request.organisation)
@@ -149,43 +149,43 @@
     while True:
         read_plan = await access.await_plan(find_plan, plan.evidence_until_ms)
         if read_plan is None:
-            return refuse(Refusal.BUSY, "no recent evidence of the group's log")
-        untried = [name for name in read_plan.members if name not in tried]
+            return make_refusal(Refusal.BUSY, "no recent evidence of the group's log")
+        untried = [name for name in read_plan.members if name not in attempted]
         if not untried:
             if not read_plan.members or not plan.may_retry(access.clock.now_ms()):
-                return last
+                return last_result
             await asyncio.sleep(RETRY_PAUSE_MS / 1000)
-            tried.clear()
+            attempted.clear()
             continue
         plan.attempts += 1
-        tried.add(untried[0])
-        last = await _read_once(
+        attempted.add(untried[0])
+        last_result = await _read_once(
             access, request, statement, untried[0], read_plan.min_position
         )
-        refusal = last.answer.refusal
+        refusal = last_result.response.refusal
         if refusal is None or refusal in (Refusal.TIMED_OUT, Refusal.MALFORMED):
-            return last
+            return last_result
         if refusal is Refusal.EXECUTION_FAILED and plan.attempts > 1:
-            return last
+            return last_result
         if not plan.may_retry(access.clock.now_ms()):
-            return last
+            return last_result
 
 
 async def run_write(
     access: GroupAccess, request: Request, statement: Executable
 ) -> Result:
-    """Run a single write on the primary; repeats it only if it certainly did not run.
+    """Run a single write on the primary; retries only if it certainly did not run.
 
     Returns
     -------
     Result
-        `OUTCOME_UNKNOWN` if the write was sent and its answer was lost.
+        `OUTCOME_UNKNOWN` if the write was sent and its response was lost.
     """
     plan = request.plan
     while True:
         plan.attempts += 1
         result = await _write_once(access, request, statement)
-        if result.answer.refusal not in NOT_RUN:
+        if result.response.refusal not in NOT_RUN:
             return result
         if not plan.may_retry(access.clock.now_ms()) or not _has_primary(access):
             return result
@@ -201,7 +201,7 @@
 ) -> Result:
     pool = access.pools[member]
     plan = request.plan
-    limit_ms = max(
+    attempt_timeout_ms = max(
         MIN_READ_ATTEMPT_MS, READ_ATTEMPT_OBJECTIVES * request.route.objective_ms
     )
     try:
@@ -210,22 +210,24 @@
         ) as pooled:
             await prepare_link(pooled, request)
             remaining_ms = plan.remaining_ms(access.clock.now_ms())
-            answer = await run_on_link(
+            response = await run_on_link(
                 access,
                 pool,
                 pooled,
                 statement,
                 min_position=min_position,
-                timeout_ms=min(limit_ms, remaining_ms),
+                timeout_ms=min(attempt_timeout_ms, remaining_ms),
             )
-            return Result(answer, member)
+            return Result(response, member)
     except RequestError as error:
-        return refuse(Refusal.BUSY, error.failure.message, member)
+        return make_refusal(Refusal.BUSY, error.failure.message, member)
     except LinkRefused as error:
         access.request_poll()
-        return refuse(_refusal_of(error), error.reason, member)
+        return make_refusal(_classify_refused_link(error), error.reason, member)
     except LinkLost as error:
-        return refuse(Refusal.BUSY, f"connection to {member}: {error.reason}", member)
+        return make_refusal(
+            Refusal.BUSY, f"connection to {member}: {error.reason}", member
+        )
 
 
 async def _write_once(
@@ -236,7 +238,7 @@
         await access.wait_for(lambda: _has_primary(access), plan.evidence_until_ms)
     pool = access.usable_primary()
     if pool is None or not access.may_send_commit():
-        return refuse(Refusal.BUSY, "the group has no reachable primary")
+        return make_refusal(Refusal.BUSY, "the group has no reachable primary")
     member, term = pool.member.name, access.evidence.term
     is_sent = False
     try:
@@ -245,7 +247,7 @@
         ) as pooled:
             await prepare_link(pooled, request)
             is_sent = True
-            answer = await run_on_link(
+            response = await run_on_link(
                 access,
                 pool,
                 pooled,
@@ -253,44 +255,46 @@
                 min_position=None,
                 timeout_ms=plan.remaining_ms(access.clock.now_ms()),
             )
-        return await confirm_commit(access, Result(answer, member), term)
+        return await confirm_commit(access, Result(response, member), term)
     except RequestError as error:
-        return refuse(Refusal.BUSY, error.failure.message, member)
+        return make_refusal(Refusal.BUSY, error.failure.message, member)
     except LinkRefused as error:
         access.request_poll()
-        return refuse(_refusal_of(error), error.reason, member)
+        return make_refusal(_classify_refused_link(error), error.reason, member)
     except LinkLost as error:
         if is_sent and error.is_sent:
-            return refuse(Refusal.OUTCOME_UNKNOWN, error.reason, member)
-        return refuse(Refusal.BUSY, f"connection to {member}: {error.reason}", member)
+            return make_refusal(Refusal.OUTCOME_UNKNOWN, error.reason, member)
+        return make_refusal(
+            Refusal.BUSY, f"connection to {member}: {error.reason}", member
+        )
 
 
 async def confirm_commit(access: GroupAccess, result: Result, term: int) -> Result:
-    """Return the result of a commit, unknown if a promotion may have discarded it.
+    """Return the result of a commit; unknown if a promotion may have discarded it.
 
     Parameters
     ----------
     access : GroupAccess
         The group.
     result : Result
-        What the member has answered.
+        Result of the commit at the member.
     term : int
-        The term that the member led when the commit was sent.
+        Term in which the member was the primary when the commit was sent.
     """
-    if result.answer.refusal is not None:
+    if result.response.refusal is not None:
         return result
     until_ms = access.clock.now_ms() + CONFIRM_MS
     if await access.confirm_term(result.member, term, until_ms):
         return result
     detail = "the primary may have been replaced meanwhile"
-    return refuse(Refusal.OUTCOME_UNKNOWN, detail, result.member)
+    return make_refusal(Refusal.OUTCOME_UNKNOWN, detail, result.member)
 
 
 def _has_primary(access: GroupAccess) -> bool:
     return access.usable_primary() is not None and access.may_send_commit()
 
 
-def _refusal_of(error: LinkRefused) -> Refusal:
+def _classify_refused_link(error: LinkRefused) -> Refusal:
     if error.is_wrong_member:
         return Refusal.WRONG_MEMBER
     if error.is_full:
@@ -298,6 +302,6 @@
     return Refusal.BUSY
 
 
-def is_open(answer: MemberResponse) -> bool:
-    """Tell whether an answer leaves its transaction usable."""
-    return answer.refusal is None and answer.state is TransactionState.OPEN
+def is_open(response: MemberResponse) -> bool:
+    """Tell whether the transaction can continue after a response."""
+    return response.refusal is None and response.state is TransactionState.OPEN
--- a/src/radishtrack/pooler/member_pool.py
+++ b/src/radishtrack/pooler/member_pool.py
@@ -1,4 +1,4 @@
-"""Connections of one node to one member, shared by all organisations."""
+"""The connections of one node to one member, shared by all organisations."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
 from radishtrack.session.position import Position
 
 CONNECT_TIMEOUT_MS: Final = 400.0
-"""A connection takes about 12 ms and two round trips; a member that is silent for
-longer is treated as unreachable."""
+"""Connecting takes about 12 ms and two round trips; a member that does not respond in
+this time is treated as unreachable."""
 PREPARATION_TIMEOUT_MS: Final = 400.0
-"""Setting values and preparing takes no slot of the member."""
+"""Setting values and preparing need no slot of the member."""
 SERVICE_SMOOTHING: Final = 0.1
-"""Weight of the newest statement in the mean service time."""
+"""Weight of the newest statement in the moving average of the service time."""
 
 
-def _ignore_end() -> None:
+def _do_nothing() -> None:
     return
 
 
 @attrs.define(eq=False)
 class PooledLink:
-    """A connection with what the member remembers of it."""
+    """A connection with the state that the member keeps for it."""
 
     link: MemberLink
     organisation: str
@@ -52,43 +52,43 @@
         min_position: Position | None,
         timeout_ms: float,
     ) -> MemberResponse:
-        """Run a statement and note whether a transaction is open."""
-        answer = await self.link.run(
+        """Run a statement and record whether a transaction is open."""
+        response = await self.link.run(
             statement, min_position=min_position, timeout_ms=timeout_ms
         )
-        self.is_in_transaction = answer.state is not TransactionState.IDLE
-        return answer
+        self.is_in_transaction = response.state is not TransactionState.IDLE
+        return response
 
-    async def apply_values(self, wanted: dict[str, str]) -> None:
-        """Give the connection exactly the session values of a client.
+    async def apply_values(self, client_values: dict[str, str]) -> None:
+        """Set exactly the session values of a client.
 
         Raises
         ------
         LinkLost
-            If the member does not accept them.
+            If the member refuses one of them; the connection is closed then.
         """
-        if not self.values.keys() <= wanted.keys():
+        if not self.values.keys() <= client_values.keys():
             await self._require(Discard())
             self.values.clear()
             self.prepared.clear()
-        for name, value in wanted.items():
+        for name, value in client_values.items():
             if self.values.get(name) != value:
                 await self._require(SetValue(name, value))
                 self.values[name] = value
 
     async def ensure_prepared(self, prepare: Prepare) -> None:
-        """Prepare a statement unless the connection has it already."""
+        """Prepare a statement unless the connection already has it."""
         if prepare.name not in self.prepared:
             await self._require(prepare)
             self.prepared.add(prepare.name)
 
     async def _require(self, statement: MemberStatement) -> None:
-        answer = await self.link.run(
+        response = await self.link.run(
             statement, min_position=None, timeout_ms=PREPARATION_TIMEOUT_MS
         )
-        if answer.refusal is not None:
+        if response.refusal is not None:
             self.link.close()
-            raise LinkLost(f"preparation refused: {answer.detail}", is_sent=False)
+            raise LinkLost(f"preparation refused: {response.detail}", is_sent=False)
 
 
 @attrs.define(eq=False)
@@ -104,7 +104,7 @@
     clock : Clock
         Time in milliseconds.
     gate : Gate
-        Permits, as many as this node may have connections.
+        Admits requests up to this node's number of connections.
     """
 
     member: Member
@@ -115,37 +115,38 @@
     busy: set[PooledLink] = attrs.field(factory=set)
     service_ms: float = 10.0
     last_response_ms: float = 0.0
-    """When the member last answered anything."""
+    """When the member last responded or accepted a connection."""
     is_reachable: bool = True
     polled_ms: float = 0.0
-    """When this node last asked for a report."""
+    """When this node last polled the member."""
     failures: int = 0
-    """Polls in a row that failed."""
-    on_link_end: Callable[[], None] = _ignore_end
+    """Consecutive failed polls."""
+    on_link_end: Callable[[], None] = _do_nothing
     """Called when the member ends a connection."""
     opening: int = 0
+    """Connections that are being opened."""
 
     @asynccontextmanager
     async def lease(
         self, organisation: str, values: dict[str, str], deadline_ms: float
     ) -> AsyncIterator[PooledLink]:
-        """Hold a connection of an organisation.
+        """Lease a connection of an organisation.
 
         Parameters
         ----------
         organisation : str
-            Name that the member knows the connection's user by.
+            Organisation name that is sent to the member.
         values : dict
-            Session values that an idle connection should preferably have.
+            Session values; an idle connection that has them is preferred.
         deadline_ms : float
-            Latest time at which the wait for a connection ends.
+            When the wait for a connection ends.
 
         Raises
         ------
         RequestError
-            Not run, if no connection is free in time.
+            If no connection is free in time; nothing has run.
         LinkRefused
-            If a new connection was needed and the member did not accept it.
+            If a new connection was needed and the member refused it.
         """
         async with self.gate.connection(organisation, deadline_ms):
             pooled = self._find_idle(organisation, values)
@@ -155,56 +156,56 @@
             try:
                 yield pooled
             except BaseException:
-                # An answer may still be on its way; it must not reach the next user.
+                # A response may be outstanding; the next user must not receive it.
                 pooled.link.close()
                 raise
             finally:
-                self._put_back(pooled)
+                self._return_link(pooled)
 
     @asynccontextmanager
     async def lease_any(
         self, organisation: str, deadline_ms: float
     ) -> AsyncIterator[PooledLink]:
-        """Hold a connection of any organisation, for the node's own statements.
+        """Lease a connection of any organisation, for the node's own statements.
 
         Parameters
         ----------
         organisation : str
-            Organisation of a connection that has to be opened.
+            Organisation to open a connection for if none is idle.
         deadline_ms : float
-            Latest time at which the wait for a connection ends.
+            When the wait for a connection ends.
         """
         idle = next((pooled for pooled in reversed(self.idle)), None)
-        chosen = idle.organisation if idle is not None else organisation
-        async with self.lease(chosen, {}, deadline_ms) as pooled:
+        link_organisation = idle.organisation if idle is not None else organisation
+        async with self.lease(link_organisation, {}, deadline_ms) as pooled:
             yield pooled
 
     @property
     def in_flight(self) -> int:
-        """Connections in use, and requests that wait for one."""
+        """Number of connections in use and of requests that wait for one."""
         return len(self.busy) + self.gate.queue.waiting
 
     def has_idle(self, organisation: str) -> bool:
-        """Tell whether a request of an organisation needs no new connection."""
+        """Tell whether an organisation has an idle connection."""
         return any(
             pooled.organisation == organisation and not pooled.link.is_closed
             for pooled in self.idle
         )
 
-    def note_answer(self, started_ms: float, now_ms: float) -> None:
-        """Record an answered statement and how long it took."""
+    def record_response(self, started_ms: float, now_ms: float) -> None:
+        """Record a response and the duration of its statement."""
         self.last_response_ms = now_ms
         self.service_ms += SERVICE_SMOOTHING * (now_ms - started_ms - self.service_ms)
 
     def set_limit(self, connections: int) -> None:
-        """Change how many connections this node may have."""
+        """Set how many connections this node may have."""
         if connections != self.gate.queue.connections:
             self.gate.set_connections(connections)
             while self.idle and self._total > connections:
                 self.idle.pop(0).link.close()
 
     def drop_idle(self) -> None:
-        """Close the connections that nobody uses."""
+        """Close the idle connections."""
         for pooled in self.idle:
             pooled.link.close()
         self.idle.clear()
@@ -242,12 +243,14 @@
         own = [pooled for pooled in self.idle if pooled.organisation == organisation]
         if not own:
             return None
-        same = (pooled for pooled in reversed(own) if pooled.values == values)
-        found = next(same, own[-1])
-        self.idle.remove(found)
-        return found
+        with_same_values = (
+            pooled for pooled in reversed(own) if pooled.values == values
+        )
+        reusable = next(with_same_values, own[-1])
+        self.idle.remove(reusable)
+        return reusable
 
-    def _put_back(self, pooled: PooledLink) -> None:
+    def _return_link(self, pooled: PooledLink) -> None:
         self.busy.discard(pooled)
         if pooled.is_in_transaction:
             pooled.link.close()
--- a/src/radishtrack/pooler/request_log.py
+++ b/src/radishtrack/pooler/request_log.py
@@ -55,7 +55,7 @@
         access = session.access
         assert access is not None
         elapsed_ms = self.clock.now_ms() - arrived_ms
-        refusal = result.answer.refusal
+        refusal = result.response.refusal
         outcome = "served" if refusal is None else refusal.name.lower()
         read_class = access.route.read_class.value
         self.statements.labels(read_class, step, outcome).inc()
@@ -77,7 +77,7 @@
             id=statement_id,
             step=step,
             outcome=outcome,
-            detail=result.answer.detail,
+            detail=result.response.detail,
             member=result.member,
             group=group.name,
             organisation=access.organisation,
--- a/src/radishtrack/pooler/session.py
+++ b/src/radishtrack/pooler/session.py
@@ -13,7 +13,7 @@
     Executable,
     Request,
     Result,
-    refuse,
+    make_refusal,
     run_read,
     run_write,
 )
@@ -42,15 +42,15 @@
 MAX_PREPARED: Final = 256
 """Prepared statements of one client; bounds the memory of a session."""
 ADMISSION_OBJECTIVES: Final = 0.2
-"""Longest wait for a token, in latency objectives: a later refusal leaves the client
-too little time for another attempt. A token takes one round trip between nodes."""
+"""Longest wait for a token, in latency objectives. A later refusal would leave the
+client too little time for a retry; a token takes one round trip between nodes."""
 OPEN_ORGANISATION: Final = "-"
-"""What members are told of clients of open routes, which have no organisation."""
+"""Organisation name that is sent to members for open routes, which have none."""
 
 
 @attrs.frozen
 class Denied:
-    """Why a session may not run anything now."""
+    """Reason why a session may not run statements."""
 
     refusal: Refusal
     detail: str
@@ -58,7 +58,7 @@
 
 @attrs.frozen
 class Access:
-    """What a session may use, by the configuration in force."""
+    """Route and organisation of a session under the current configuration."""
 
     route: Route
     organisation: str
@@ -67,29 +67,29 @@
 
 @attrs.frozen
 class SessionContext:
-    """What sessions share.
+    """Functions of the node that all its sessions use.
 
     Parameters
     ----------
     clock : Clock
         Time in milliseconds.
     authorise : callable
-        Takes database name and key digest; returns the access or why there is none.
+        Takes database name and key digest; returns the access or why it is denied.
     refresh : callable
-        Reads the configuration from the store, for names that are not known yet.
+        Reads the configuration from the store; takes what the local copy lacks.
     admit : callable
-        Takes an organisation and how long to wait in milliseconds; tells whether its
+        Takes an organisation and the longest wait in milliseconds; tells whether its
         rate admits one more operation.
     find_group : callable
         Returns the access to a group.
     observe : callable
-        Told of every operation's result: session, statement identifier, what ran, the
-        result and when it arrived.
+        Records the result of an operation: session, statement identifier, step, result
+        and arrival time.
     observe_denied : callable
-        Told of every session that may not run anything: database, why, and the age of
-        the configuration in milliseconds.
+        Records a denied session: database, reason, and age of the configuration in
+        milliseconds.
     catalog_age_ms : callable
-        Returns that age.
+        Returns the age of the configuration in milliseconds.
     """
 
     clock: Clock
@@ -102,13 +102,13 @@
     catalog_age_ms: Callable[[], float]
 
     def report_denied(self, database: str, denied: Denied) -> None:
-        """Tell that a session may not run anything."""
+        """Record that a session was denied access."""
         self.observe_denied(database, denied, self.catalog_age_ms())
 
 
 @attrs.define(eq=False)
 class ClientSession:
-    """State of one client connection; `handle` runs its statements in turn."""
+    """State of one client connection; `handle` runs one statement at a time."""
 
     context: SessionContext
     database: str
@@ -116,16 +116,16 @@
     values: dict[str, str] = attrs.field(factory=dict)
     prepared: dict[str, Prepare] = attrs.field(factory=dict)
     positions: dict[str, Position] = attrs.field(factory=dict)
-    """End of the log after this session's last commit, by group."""
+    """Log position after this session's last commit, by group."""
     transaction: Transaction | None = None
     access: Access | None = None
-    """What the running operation uses; a new configuration counts from the next one."""
+    """Access of the current operation; it changes only between transactions."""
     must_close: bool = False
-    """Whether the connection has to end after the present answer."""
+    """Whether the frontend has to close the connection after this response."""
 
     @property
     def state(self) -> TransactionState:
-        """Whether a transaction is open."""
+        """Transaction state that is sent to the client."""
         if self.transaction is None:
             return TransactionState.IDLE
         if self.transaction.has_failed:
@@ -133,12 +133,12 @@
         return TransactionState.OPEN
 
     async def handle(self, statement: ClientStatement) -> ClientResponse:
-        """Run one statement and return its answer."""
+        """Run one statement and return its response."""
         denied = self._check_access()
         if denied is not None:
             self.context.report_denied(self.database, denied)
             await self.close()
-            # The client can go on at a node that may serve it.
+            # The client can reconnect, to a node that may serve it.
             self.must_close = True
             return self._refuse(denied.refusal, denied.detail)
         match statement:
@@ -164,20 +164,20 @@
                 return await self._execute(statement)
 
     async def close(self) -> None:
-        """End the transaction, if any, by rolling back."""
+        """Roll back the open transaction, if any."""
         transaction, self.transaction = self.transaction, None
         if transaction is not None:
             await transaction.abandon()
 
     async def expire_transaction(self) -> None:
-        """Roll back a transaction that was idle for too long; it counts as failed."""
+        """Roll back a transaction after its idle timeout and mark it failed."""
         if self.transaction is not None:
             await self.transaction.abandon()
 
     def _check_access(self) -> Denied | None:
         access = self.context.authorise(self.database, self.key_digest)
         if isinstance(access, Denied):
-            # A removed route ends with the transaction that runs on it; a key does not.
+            # A transaction may finish on a removed route, but not with a revoked key.
             if self.transaction is None or access.refusal is not Refusal.NO_DATABASE:
                 return access
         elif self.transaction is None:
@@ -187,8 +187,8 @@
     async def _begin(self, statement: Begin) -> ClientResponse:
         if self.transaction is not None:
             return self._refuse(Refusal.MALFORMED, "a transaction is open already")
-        access = self._current_access()
-        if not await self._admit(access):
+        access = self._require_access()
+        if not await self._acquire_token(access):
             return self._refuse_over_rate("-", "begin")
         group = self.context.find_group(access.route.group)
         self.transaction = Transaction(group, statement.is_read_only)
@@ -198,7 +198,7 @@
         transaction = self.transaction
         if transaction is None:
             return self._refuse(Refusal.MALFORMED, "no transaction is open")
-        access = self._current_access()
+        access = self._require_access()
         arrived_ms = self.context.clock.now_ms()
         result = await transaction.commit(
             self._make_request(access, None, arrived_ms),
@@ -206,12 +206,12 @@
             self.positions.get(access.route.group),
         )
         self.transaction = None
-        if result.answer.refusal is None and transaction.wrote:
-            self._note_commit(access.route.group, result)
-        return self._answer(statement.statement_id, "commit", result, arrived_ms)
+        if result.response.refusal is None and transaction.has_written:
+            self._record_commit(access.route.group, result)
+        return self._respond(statement.statement_id, "commit", result, arrived_ms)
 
     async def _execute(self, statement: Run | RunPrepared) -> ClientResponse:
-        access = self._current_access()
+        access = self._require_access()
         prepare: Prepare | None = None
         executable: Executable = statement
         if isinstance(statement, RunPrepared):
@@ -230,33 +230,33 @@
             result = await self.transaction.run(
                 request, executable, position, is_write=is_write
             )
-        elif not await self._admit(access):
+        elif not await self._acquire_token(access):
             return self._refuse_over_rate(statement.statement_id, "admit")
         elif is_write:
             result = await run_write(group, request, executable)
-            if result.answer.refusal is None:
-                self._note_commit(group.name, result)
+            if result.response.refusal is None:
+                self._record_commit(group.name, result)
         else:
             result = await run_read(group, request, executable, position)
         result = attrs.evolve(result, attempts=request.plan.attempts)
         step = "write" if is_write else "read"
-        return self._answer(statement.statement_id, step, result, arrived_ms)
+        return self._respond(statement.statement_id, step, result, arrived_ms)
 
     def _set_value(self, name: str, value: str) -> ClientResponse:
         if name not in self.values and len(self.values) >= MAX_VALUES:
             return self._fail(Refusal.MALFORMED, "too many session values")
-        # A connection that runs a transaction gets the new value with its next
-        # statement.
+        # Applied to the connection of an open transaction before its next statement.
         self.values = {**self.values, name: value}
         return self._complete()
 
     def _prepare(self, statement: Prepare) -> ClientResponse:
         if statement.name not in self.prepared and len(self.prepared) >= MAX_PREPARED:
             return self._fail(Refusal.MALFORMED, "too many prepared statements")
-        # Names collide between clients; the same statement has one name at members.
+        # Pooled connections are shared and clients choose the same names, so members
+        # get a name that is derived from the statement.
         kind = "w" if statement.is_write else "r"
-        shared = attrs.evolve(statement, name=f"{kind}_{statement.shape}")
-        self.prepared[statement.name] = shared
+        member_prepare = attrs.evolve(statement, name=f"{kind}_{statement.shape}")
+        self.prepared[statement.name] = member_prepare
         return self._complete()
 
     def _make_request(
@@ -265,34 +265,38 @@
         plan = make_attempt_plan(access.route, arrived_ms)
         return Request(access.organisation, access.route, self.values, prepare, plan)
 
-    def _current_access(self) -> Access:
+    def _require_access(self) -> Access:
         assert self.access is not None
         return self.access
 
-    async def _admit(self, access: Access) -> bool:
+    async def _acquire_token(self, access: Access) -> bool:
         if not access.is_limited:
             return True
         wait_ms = ADMISSION_OBJECTIVES * access.route.objective_ms
         return await self.context.admit(access.organisation, wait_ms)
 
     def _refuse_over_rate(self, statement_id: str, step: str) -> ClientResponse:
-        result = refuse(Refusal.BUSY, "the organisation is over its rate")
+        result = make_refusal(Refusal.BUSY, "the organisation is over its rate")
         arrived_ms = self.context.clock.now_ms()
-        return self._answer(statement_id, step, result, arrived_ms)
+        return self._respond(statement_id, step, result, arrived_ms)
 
-    def _note_commit(self, group: str, result: Result) -> None:
-        position = result.answer.position
+    def _record_commit(self, group: str, result: Result) -> None:
+        position = result.response.position
         if position is not None:
-            known = self.positions.get(group)
-            self.positions[group] = max(position, known) if known else position
+            earlier = self.positions.get(group)
+            self.positions[group] = max(position, earlier) if earlier else position
 
-    def _answer(
+    def _respond(
         self, statement_id: str, step: str, result: Result, arrived_ms: float
     ) -> ClientResponse:
         self.context.observe(self, statement_id, step, result, arrived_ms)
-        answer = result.answer
+        response = result.response
         return ClientResponse(
-            self.state, answer.rows, answer.signature, answer.refusal, answer.detail
+            self.state,
+            response.rows,
+            response.signature,
+            response.refusal,
+            response.detail,
         )
 
     def _complete(self) -> ClientResponse:
@@ -302,7 +306,7 @@
         return ClientResponse(self.state, refusal=refusal, detail=detail)
 
     def _fail(self, refusal: Refusal, detail: str) -> ClientResponse:
-        """Refuse a statement; an open transaction fails with it."""
+        """Refuse a statement and mark an open transaction failed."""
         if self.transaction is not None:
             self.transaction.has_failed = True
         return self._refuse(refusal, detail)
@@ -311,7 +315,7 @@
 async def make_session(
     context: SessionContext, database: str, key: str | None
 ) -> ClientSession | Denied:
-    """Return a session, or why the client may not have one."""
+    """Return a session, or the reason why it is denied."""
     key_digest = digest_key(key) if key is not None else None
     access = context.authorise(database, key_digest)
     if isinstance(access, Denied):
--- a/src/radishtrack/pooler/transaction.py
+++ b/src/radishtrack/pooler/transaction.py
@@ -15,8 +15,8 @@
     Result,
     confirm_commit,
     is_open,
+    make_refusal,
     prepare_link,
-    refuse,
     run_on_link,
 )
 from radishtrack.pooler.group_access import GroupAccess, ReadPlan
@@ -34,21 +34,21 @@
 from radishtrack.session.position import Position
 
 ROLLBACK_TIMEOUT_MS: Final = 500.0
-"""A rollback takes no slot; a connection that does not answer is closed, which rolls
-back as well."""
+"""A rollback does not wait for a slot of the member. After the timeout the
+connection is closed, which rolls back as well."""
 
 
 @attrs.define(eq=False)
 class Transaction:
-    """A transaction; the member's part starts with the first statement.
+    """A transaction, which begins at a member with its first statement.
 
-    Starting late keeps the scarce connection free while the client pauses after its
+    The delayed begin leaves the connection to others while the client pauses after its
     `BEGIN`, and can only make the data newer.
 
     Parameters
     ----------
     access : GroupAccess
-        The group that the route named when the transaction began.
+        Group of the route at the time of the client's `BEGIN`.
     is_read_only : bool
         Whether a replica may run it.
     """
@@ -56,7 +56,7 @@
     access: GroupAccess
     is_read_only: bool
     has_failed: bool = False
-    wrote: bool = False
+    has_written: bool = False
     member: str = ""
     pooled: PooledLink | None = None
     pool: MemberPool | None = None
@@ -77,19 +77,21 @@
                 await self.abandon()
                 return refused
         assert self.pooled is not None and self.pool is not None
-        self.wrote = self.wrote or is_write
+        self.has_written = self.has_written or is_write
         result = await self._run_pinned(request, statement)
-        if not is_open(result.answer):
+        if not is_open(result.response):
             await self.abandon()
         return result
 
     async def commit(
         self, request: Request, statement: Commit, session_position: Position | None
     ) -> Result:
-        """Commit; the transaction has ended whatever the result is."""
+        """Commit; ends the transaction with every result."""
         if self.has_failed:
             await self.abandon()
-            return refuse(Refusal.ABORTED, "the transaction had failed", self.member)
+            return make_refusal(
+                Refusal.ABORTED, "the transaction had failed", self.member
+            )
         if self.pooled is None:
             refused = await self._begin(request, session_position)
             if refused is not None:
@@ -98,7 +100,7 @@
         assert self.pooled is not None and self.pool is not None
         term = self.access.evidence.term
         try:
-            answer = await run_on_link(
+            response = await run_on_link(
                 self.access,
                 self.pool,
                 self.pooled,
@@ -109,18 +111,18 @@
         except LinkLost as error:
             await self.abandon()
             if not error.is_sent:
-                return refuse(Refusal.ABORTED, error.reason, self.member)
-            # Without a write there is nothing whose fate could be unknown.
-            lost = Refusal.OUTCOME_UNKNOWN if self.wrote else Refusal.ABORTED
-            return refuse(lost, error.reason, self.member)
+                return make_refusal(Refusal.ABORTED, error.reason, self.member)
+            # Without a write there is no outcome that could be unknown.
+            refusal = Refusal.OUTCOME_UNKNOWN if self.has_written else Refusal.ABORTED
+            return make_refusal(refusal, error.reason, self.member)
         await self.abandon()
-        result = Result(answer, self.member)
-        if not self.wrote:
+        result = Result(response, self.member)
+        if not self.has_written:
             return result
         return await confirm_commit(self.access, result, term)
 
     async def abandon(self) -> None:
-        """Roll back at the member and give the connection back."""
+        """Roll back at the member and return the connection to the pool."""
         self.has_failed = True
         pooled, self.pooled = self.pooled, None
         if pooled is not None and pooled.is_in_transaction:
@@ -144,7 +146,7 @@
             plan.attempts += 1
             try:
                 await prepare_link(self.pooled, request)
-                answer = await run_on_link(
+                response = await run_on_link(
                     self.access,
                     self.pool,
                     self.pooled,
@@ -155,17 +157,17 @@
             except LinkLost as error:
                 # The member rolls back a transaction whose connection has ended.
                 self.pooled.link.close()
-                return refuse(Refusal.ABORTED, error.reason, self.member)
-            stays_open = answer.state is TransactionState.OPEN
-            is_repeatable = answer.refusal in NOT_RUN and stays_open
+                return make_refusal(Refusal.ABORTED, error.reason, self.member)
+            is_still_open = response.state is TransactionState.OPEN
+            is_repeatable = response.refusal in NOT_RUN and is_still_open
             if not is_repeatable or not plan.may_retry(self.access.clock.now_ms()):
-                return Result(answer, self.member)
+                return Result(response, self.member)
             await asyncio.sleep(RETRY_PAUSE_MS / 1000)
 
     async def _begin(
         self, request: Request, session_position: Position | None
     ) -> Result | None:
-        """Start the transaction at a member; return the refusal if none does."""
+        """Begin at a member; return a refusal if no member accepts."""
         plan = request.plan
         while True:
             plan.attempts += 1
@@ -174,8 +176,10 @@
                 plan.evidence_until_ms,
             )
             if read_plan is None:
-                return refuse(Refusal.BUSY, "no recent evidence of the group's log")
-            refused: Result | None = refuse(
+                return make_refusal(
+                    Refusal.BUSY, "no recent evidence of the group's log"
+                )
+            refused: Result | None = make_refusal(
                 Refusal.BUSY, "no member can start the transaction"
             )
             for member in read_plan.members:
@@ -202,7 +206,7 @@
     ) -> Result | None:
         pool = self.access.pools.get(member)
         if pool is None or not pool.is_reachable or not self.access.may_use(member):
-            return refuse(Refusal.BUSY, f"{member} is not reachable", member)
+            return make_refusal(Refusal.BUSY, f"{member} is not reachable", member)
         stack = AsyncExitStack()
         try:
             pooled = await stack.enter_async_context(
@@ -211,7 +215,7 @@
                 )
             )
             await prepare_link(pooled, request)
-            answer = await run_on_link(
+            response = await run_on_link(
                 self.access,
                 pool,
                 pooled,
@@ -221,19 +225,19 @@
             )
         except RequestError as error:
             await stack.aclose()
-            return refuse(Refusal.BUSY, error.failure.message, member)
+            return make_refusal(Refusal.BUSY, error.failure.message, member)
         except LinkRefused as error:
             await stack.aclose()
-            return refuse(Refusal.BUSY, error.reason, member)
+            return make_refusal(Refusal.BUSY, error.reason, member)
         except LinkLost as error:
-            # Nothing of the client was sent yet.
+            # No statement of the client has been sent yet.
             await stack.aclose()
-            return refuse(Refusal.BUSY, error.reason, member)
+            return make_refusal(Refusal.BUSY, error.reason, member)
         except BaseException:
             await stack.aclose()
             raise
-        if not is_open(answer):
+        if not is_open(response):
             await stack.aclose()
-            return Result(answer, member)
+            return Result(response, member)
         self.member, self.pool, self.pooled, self.stack = member, pool, pooled, stack
         return None
