--- a/benchmarks/pooler_decisions.py
+++ b/benchmarks/pooler_decisions.py
@@ -84,7 +84,7 @@
         parse_query("QUERY 5c0e7a21d94b36f8 READ 1a4")
         route = catalog.routes[database]
         owner = catalog.key_owners[key]
-        assert limiter.take(owner.name, time.value_ms)
+        assert limiter.acquire(owner.name, time.value_ms)
         make_attempt_plan(route, time.value_ms)
         plan = groups[route.group].plan_read(route, Position(1, 30), owner.name)
         assert plan is not None and plan.members
--- a/src/radishtrack/pooler/node.py
+++ b/src/radishtrack/pooler/node.py
@@ -192,7 +192,7 @@
                 access,
                 member,
                 self.promoter.organisation,
-                self.rates.is_holder,
+                self.rates.is_coordinator,
                 self.clock,
             )
             self.monitors[member] = start_task(monitor.run(), f"monitor of {member}")
@@ -239,7 +239,7 @@
             if len(self.control.nodes) != self.applied_nodes:
                 self.apply_control()
             if self.options.key_age_limit_ms is not None:
-                await self._remove_silent_nodes()
+                await self._remove_unresponsive_nodes()
             if self.control.age_ms() > UNLISTED_EXPIRY_MS:
                 # Without the store nobody knows whether an entry has come back.
                 continue
@@ -248,12 +248,12 @@
                 for name in access.expire_members(before_ms):
                     log_event(Event.MEMBER_REMOVED, group=access.name, member=name)
 
-    async def _remove_silent_nodes(self) -> None:
+    async def _remove_unresponsive_nodes(self) -> None:
         """Remove the records of nodes that are gone; one that lives registers again.
 
         Only possible where a node without the store stops by itself.
         """
-        for name in self.rates.list_silent_nodes():
+        for name in self.rates.list_unresponsive_nodes():
             log_event(Event.NODE_REMOVED, node=name, by=self.options.node.name)
             try:
                 await self.control.store.remove_node(name)
@@ -315,7 +315,7 @@
             case SharesWanted():
                 return self.rates.grant(peer, message)
             case SharesReturned():
-                return self.rates.take_back(peer, message)
+                return self.rates.handle_shares_returned(peer, message)
             case HolderAsked(request):
                 return HolderHeard(request, self.rates.succession.answered_age_ms())
             case DutyChanged():
@@ -367,13 +367,13 @@
         ),
     )
     rates = make_rate_exchange(options.node.name, clock, control, peers)
-    control.reads_for_fleet = rates.is_holder
+    control.reads_for_fleet = rates.is_coordinator
     relay = ReportRelay(
         clock=clock,
         control=control,
         peers=peers,
         find_relay=rates.succession.find_holder,
-        is_relay=rates.is_holder,
+        is_relay=rates.is_coordinator,
         groups=groups,
     )
     node = Node(
--- a/src/radishtrack/pooler/retry.py
+++ b/src/radishtrack/pooler/retry.py
@@ -1,4 +1,4 @@
-"""When a statement that did not run is tried again, and how long it may wait."""
+"""When a statement that did not run is retried, and how long it may wait."""
 
 from __future__ import annotations
 
@@ -9,16 +9,15 @@
 from radishtrack.pooler.catalog import Route
 
 WAIT_OBJECTIVES: Final = 3.0
-"""A statement waits for a connection or a primary for at most so many times its latency
-objective: clients' deadlines are five to six objectives, and one more attempt after
-the refusal has to fit."""
+"""Longest wait for a connection or a primary, in latency objectives. Clients' deadlines
+are five to six objectives and have to leave time for a retry after the refusal."""
 EVIDENCE_OBJECTIVES: Final = 0.2
-"""Wait for reports of the members, in latency objectives. A round of reports takes a
-few milliseconds; without an answer by then the members can't be reached."""
+"""Longest wait for members' reports, in latency objectives. A poll takes a few
+milliseconds; members without a report by then are unreachable."""
 RETRY_PAUSE_MS: Final = 8.0
-"""Pause before the same member is tried again; about the time of one statement."""
+"""Pause before a retry at the same member; about the duration of one statement."""
 MAX_ATTEMPTS: Final = 6
-"""Attempts of one statement, which bounds its load on members in trouble."""
+"""Attempts per statement; bounds the load on failing members."""
 
 
 @attrs.define
--- a/src/radishtrack/pooler/shares.py
+++ b/src/radishtrack/pooler/shares.py
@@ -1,17 +1,16 @@
-"""Who may use an organisation's rate: the node itself, or the node it lends to.
+"""Divides rates between nodes, so that no share is used twice.
 
-Each node owns an even share of every rate. While all is well it lends its shares to
-one node, the rates' holder, which hands the sum out in small batches to whoever needs
-them. A node that does not hear from the holder uses its own shares again as soon as its
-promise has ended. The holder counts a loan only until the promise can have ended, so a
-share is never used twice:
+Each node has an even share of every rate. Normally it delegates its shares to one node,
+the rate coordinator, which grants tokens of the sum in small batches on request. A node
+that loses the coordinator uses its own shares again when its delegation expires. The
+coordinator counts a delegation no longer than the node does:
 
-- a promise lasts for `LOAN_MS` from when the node received an answer;
-- the holder counts it for `LOAN_MS` from when it sent the answer that the node has
-  confirmed to have received.
+- at the node, it lasts for `DELEGATION_MS` from when the node received a response;
+- at the coordinator, it lasts for `DELEGATION_MS` from when the coordinator sent the
+  last response that the node has confirmed.
 
-So it does not matter how many nodes take themselves for the holder: each grants no more
-than what is lent to it, and a node lends to one at a time.
+So several nodes may act as coordinator at a time: each grants no more than is delegated
+to it, and a node delegates to one at a time.
 """
 
 from __future__ import annotations
@@ -27,68 +26,68 @@
 from radishtrack.rates.bucket import Bucket, make_empty_bucket
 from radishtrack.rates.messages import MICRO
 
-LOAN_MS: Final = 1_000.0
-"""How long a node promises not to use its shares. Three exchanges fit in; a lost holder
-interrupts small shares for as long."""
+DELEGATION_MS: Final = 1_000.0
+"""How long a node leaves its own shares unused after a response. Three exchanges fit
+in; losing the coordinator interrupts small shares for as long."""
 GRANT_MS: Final = 500.0
-"""How long granted tokens may be used, from when they were asked for."""
-REPLIES_KEPT: Final = 32
-"""Answers whose sending times are remembered for each node."""
-NOTHING_LENT: Final = 0
-"""Number of no answer: a node that confirms it lends nothing yet, and a holder that
-answers with it counts nothing as lent any more."""
-SMALL_FLEET: Final = 16
-"""Up to this number of nodes, an even share of less than one token of burst is rounded
-up to one; above, the sum would exceed the burst by too much."""
+"""Validity of granted tokens, from the time of the request."""
+TRACKED_RESPONSES: Final = 32
+"""Responses to each node whose sending times are kept."""
+NO_DELEGATION: Final = 0
+"""Response number that no response has. A node that confirms it delegates nothing yet;
+a coordinator that sends it counts none of the node's shares as delegated."""
+SMALL_FLEET_NODES: Final = 16
+"""Up to this number of nodes, a share of less than one token of burst is rounded up to
+one; with more nodes, the sum would exceed the burst by too much."""
 
 
 def even_share(organisation: Organisation, nodes: int) -> tuple[float, float]:
-    """Return rate (a second) and burst of one node's share."""
+    """Return tokens per second and burst of one node's share."""
     part = 1.0 / max(1, nodes)
     burst = organisation.burst * part
     if burst < 1.0:
-        burst = 1.0 if nodes <= SMALL_FLEET else 0.0
+        burst = 1.0 if nodes <= SMALL_FLEET_NODES else 0.0
     return organisation.rate_per_s * part, burst
 
 
 @attrs.define
-class Borrower:
-    """What the holder knows of one node that lends to it."""
+class Delegation:
+    """One node's delegation, as the coordinator counts it."""
 
     sent_ms: dict[int, float] = attrs.field(factory=dict)
-    """When recent answers were sent, by number."""
+    """When recent responses were sent, by number."""
     last_reply: int = 0
-    lent_until_ms: float = 0.0
+    delegated_until_ms: float = 0.0
     nodes: int = 1
-    """Nodes among which it divides the rates; a loan is one part of so many."""
+    """Number of nodes among which it divides the rates; it delegates one such part."""
 
 
 @attrs.define
-class LentBucket:
-    """Tokens of one organisation at the holder."""
+class DelegatedBucket:
+    """Tokens of one organisation at the coordinator."""
 
     bucket: Bucket
     outstanding: deque[tuple[float, int]] = attrs.field(factory=deque)
-    """Granted tokens and when they can no longer be used."""
+    """Expiry and number of granted tokens, in order of expiry."""
 
 
 @attrs.define
-class ShareHolder:
-    """State of the rates' holder; construct it with `make_share_holder`.
+class RateCoordinator:
+    """State of the rate coordinator; construct it with `make_rate_coordinator`.
 
     Parameters
     ----------
     epoch : int
-        Number of this period as holder.
+        Revision of the duty's record that made this node the coordinator.
     since_ms : float
-        When it began.
+        When it became the coordinator.
     """
 
     epoch: int
     since_ms: float
     organisations: Mapping[str, Organisation] = attrs.field(factory=dict)
-    borrowers: dict[str, Borrower] = attrs.field(factory=dict)
-    buckets: dict[str, LentBucket] = attrs.field(factory=dict)
+    delegations: dict[str, Delegation] = attrs.field(factory=dict)
+    buckets: dict[str, DelegatedBucket] = attrs.field(factory=dict)
 
     def configure(
         self, organisations: Mapping[str, Organisation], now_ms: float
@@ -105,80 +104,88 @@
         node: str,
         nodes: int,
         reply: int,
-        wanted: Iterable[tuple[str, int]],
+        requested: Iterable[tuple[str, int]],
         now_ms: float,
     ) -> tuple[int, tuple[tuple[str, int, float], ...]]:
-        """Take a node's loan and return the number of the answer and the grants.
+        """Record a node's delegation and return a response number and the grants.
 
         Parameters
         ----------
         node : str
-            The node.
+            The delegating node.
         nodes : int
-            Nodes among which it divides the rates.
+            Number of nodes among which it divides the rates.
         reply : int
-            Number of the last answer of this period that the node has received.
-        wanted : iterable
+            Number of the last response of this epoch that it has received.
+        requested : iterable
             Pairs of organisation and number of tokens.
         now_ms : float
             Present time in milliseconds.
+
+        Returns
+        -------
+        tuple
+            Number of the response, and for each request the organisation, the granted
+            tokens and, if there are none, the time in milliseconds until there may be.
         """
         self._refill(now_ms)
-        borrower = self.borrowers.setdefault(node, Borrower())
-        borrower.nodes = max(1, nodes)
-        sent_ms = borrower.sent_ms.get(reply)
+        delegation = self.delegations.setdefault(node, Delegation())
+        delegation.nodes = max(1, nodes)
+        sent_ms = delegation.sent_ms.get(reply)
         if sent_ms is not None:
-            lent_until_ms = sent_ms + LOAN_MS
-            borrower.lent_until_ms = max(borrower.lent_until_ms, lent_until_ms)
-        borrower.last_reply += 1
-        borrower.sent_ms[borrower.last_reply] = now_ms
-        borrower.sent_ms.pop(borrower.last_reply - REPLIES_KEPT, None)
+            delegated_until_ms = sent_ms + DELEGATION_MS
+            delegation.delegated_until_ms = max(
+                delegation.delegated_until_ms, delegated_until_ms
+            )
+        delegation.last_reply += 1
+        delegation.sent_ms[delegation.last_reply] = now_ms
+        delegation.sent_ms.pop(delegation.last_reply - TRACKED_RESPONSES, None)
         self._apply_rates(now_ms)
-        granted = tuple(self._grant(name, tokens, now_ms) for name, tokens in wanted)
-        return borrower.last_reply, granted
+        granted = tuple(self._grant(name, tokens, now_ms) for name, tokens in requested)
+        return delegation.last_reply, granted
 
-    def forget(self, node: str) -> None:
+    def remove_delegation(self, node: str) -> None:
         """Count a node's shares as returned."""
-        self.borrowers.pop(node, None)
+        self.delegations.pop(node, None)
 
     def _grant(self, name: str, tokens: int, now_ms: float) -> tuple[str, int, float]:
-        lent = self.buckets.get(name)
-        if lent is None:
+        delegated = self.buckets.get(name)
+        if delegated is None:
             return name, 0, 0.0
-        count = max(0, min(tokens, lent.bucket.available()))
+        count = max(0, min(tokens, delegated.bucket.available()))
         if count:
-            lent.bucket.reserve(count)
-            lent.outstanding.append((now_ms + GRANT_MS, count))
+            delegated.bucket.reserve(count)
+            delegated.outstanding.append((now_ms + GRANT_MS, count))
             return name, count, 0.0
-        wait_ms = lent.bucket.wait_ms()
+        wait_ms = delegated.bucket.wait_ms()
         return name, 0, wait_ms if math.isfinite(wait_ms) else GRANT_MS
 
     def _refill(self, now_ms: float) -> None:
-        for lent in self.buckets.values():
-            lent.bucket.refill(now_ms)
-            while lent.outstanding and lent.outstanding[0][0] <= now_ms:
-                _, count = lent.outstanding.popleft()
-                lent.bucket.settle(count)
+        for delegated in self.buckets.values():
+            delegated.bucket.refill(now_ms)
+            while delegated.outstanding and delegated.outstanding[0][0] <= now_ms:
+                _, count = delegated.outstanding.popleft()
+                delegated.bucket.settle(count)
 
     def _apply_rates(self, now_ms: float) -> None:
-        """Give the buckets the shares that are lent now."""
-        lent = math.fsum(
-            1.0 / borrower.nodes
-            for borrower in self.borrowers.values()
-            if borrower.lent_until_ms > now_ms
+        """Set the buckets to the shares that are delegated now."""
+        delegated_part = math.fsum(
+            1.0 / delegation.nodes
+            for delegation in self.delegations.values()
+            if delegation.delegated_until_ms > now_ms
         )
-        part = min(1.0, lent)
+        part = min(1.0, delegated_part)
         for name, organisation in self.organisations.items():
             rate_micro = int(organisation.rate_per_s * part * MICRO)
             capacity = int(organisation.burst * part)
-            known = self.buckets.get(name)
-            if known is None:
+            existing = self.buckets.get(name)
+            if existing is None:
                 bucket = make_empty_bucket(rate_micro, capacity, now_ms)
-                self.buckets[name] = LentBucket(bucket)
+                self.buckets[name] = DelegatedBucket(bucket)
             else:
-                known.bucket.configure(rate_micro, capacity)
+                existing.bucket.configure(rate_micro, capacity)
 
 
-def make_share_holder(epoch: int, since_ms: float) -> ShareHolder:
-    """Return a holder to which nothing is lent yet."""
-    return ShareHolder(epoch, since_ms)
+def make_rate_coordinator(epoch: int, since_ms: float) -> RateCoordinator:
+    """Return a coordinator to which no shares are delegated yet."""
+    return RateCoordinator(epoch, since_ms)
--- a/tests/test_pooler_rates.py
+++ b/tests/test_pooler_rates.py
@@ -1,4 +1,4 @@
-"""Guards organisations' rates over all nodes, and who hands them out."""
+"""Tests organisations' rates over all nodes and failover of the rate coordinator."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 SETTLE_S = 4.0
 PAUSE_LIMIT_MS = 1_700.0
-"""Time to notice a lost holder, 0.7 s, and of a promise to it, 1 s."""
+"""Time to detect a lost coordinator, 0.7 s, and of a delegation to it, 1 s."""
 TAKEOVER_LIMIT_S = 2.2
-"""The same, and two exchanges."""
+"""The same plus two exchanges."""
 ADMIT_WAIT_MS = 40.0
 
 
 class UnreachableStore:
-    """A control store whose calls all fail."""
+    """A control store that fails every call."""
 
     def __getattr__(self, name: str) -> Any:
         async def fail(*_arguments: object) -> None:
@@ -34,22 +34,22 @@
 
 @attrs.define
 class PartialPeers:
-    """Links of a node that can't reach one other node, or `*` for all."""
+    """Peer links that fail to one node, or to all if `unreachable` is `*`."""
 
     peers: Peers
-    missing: str
+    unreachable: str
 
     def others(self) -> tuple[NodeRecord, ...]:
         return self.peers.others()
 
     async def ask(self, node: NodeRecord, *rest: Any) -> Any:
-        if self.missing in (node.name, "*"):
+        if self.unreachable in (node.name, "*"):
             return None
         return await self.peers.ask(node, *rest)
 
 
-async def find_longest_pause(node: Node, is_over: Callable[[], object]) -> float:
-    """Admit operations at a node until a condition holds, and for a second more.
+async def measure_longest_pause(node: Node, is_over: Callable[[], object]) -> float:
+    """Admit operations at a node until one second after a condition holds.
 
     Returns
     -------
@@ -71,76 +71,80 @@
 
 
 def read_epoch(world: World) -> int:
-    """Return the revision of the record, which each successful claim changes."""
+    """Return the revision of the duty's record, which each successful claim changes."""
     stored = world.store.objects["radishtrack", "duty.rates"]
     revision: int = stored["meta"]["revision"]
     return revision
 
 
-def find_holder(world: World) -> int:
+def find_coordinator(world: World) -> int:
     return next(
         number
         for number, running in enumerate(world.nodes)
-        if running.node.rates.is_holder()
+        if running.node.rates.is_coordinator()
     )
 
 
-async def test_a_lost_holder_is_replaced_once() -> None:
-    """A new holder grants nothing at first; others took the duty from it in turn."""
+async def test_lost_coordinator_is_replaced_once() -> None:
+    """A new coordinator grants nothing at first, so others claimed the duty in turn."""
     async with open_world(nodes=3) as world:
-        lost = world.nodes.pop(find_holder(world))
+        lost = world.nodes.pop(find_coordinator(world))
         await lost.stop()
-        await wait_until(lambda: any(n.node.rates.is_holder() for n in world.nodes))
+        await wait_until(
+            lambda: any(n.node.rates.is_coordinator() for n in world.nodes)
+        )
         epoch = read_epoch(world)
         await asyncio.sleep(SETTLE_S)
         assert read_epoch(world) == epoch
-        assert all(n.node.rates.limiter.is_lending for n in world.nodes)
+        assert all(n.node.rates.limiter.is_delegating for n in world.nodes)
 
 
-async def test_a_stopping_holder_hands_the_rates_over() -> None:
-    """During a rolling restart the rates must not pause with every holder."""
+async def test_stopping_coordinator_is_replaced_without_a_pause() -> None:
+    """In a rolling restart, rates would otherwise pause with every coordinator."""
     async with open_world(nodes=2) as world:
-        number = find_holder(world)
+        number = find_coordinator(world)
         world.nodes[number].node.begin_stop()
         other = world.nodes[1 - number].node.rates
-        await wait_until(other.is_holder, limit_s=2.0)
-        assert not world.nodes[number].node.rates.is_holder()
+        await wait_until(other.is_coordinator, limit_s=2.0)
+        assert not world.nodes[number].node.rates.is_coordinator()
 
 
-async def test_a_node_without_a_holder_uses_its_own_share() -> None:
-    """An outage of the store or of the holder must not stop organisations."""
+async def test_node_without_a_coordinator_uses_its_own_share() -> None:
+    """An outage of the store or the coordinator must not stop organisations."""
     async with open_world(nodes=2) as world:
-        number = find_holder(world)
+        number = find_coordinator(world)
         remaining = world.nodes[1 - number]
         world.store.faults.status = 503
         stopped = world.nodes.pop(number)
         await stopped.stop()
         rates = remaining.node.rates
-        await wait_until(lambda: rates.limiter.lent_until_ms < rates.clock.now_ms())
+        await wait_until(
+            lambda: rates.limiter.delegated_until_ms < rates.clock.now_ms()
+        )
         async with asyncio.timeout(2.0):
             while not await rates.admit("verksted", 20.0):
                 await asyncio.sleep(0.02)
 
 
-async def test_a_holder_that_loses_the_store_is_replaced_without_a_pause() -> None:
-    """Organisations were refused for seconds whenever the holder lost the store."""
+async def test_coordinator_without_the_store_is_replaced_without_a_pause() -> None:
+    """Organisations were refused for seconds when the coordinator lost the store."""
     async with open_world(nodes=3) as world:
-        first = world.nodes[find_holder(world)].node
+        first = world.nodes[find_coordinator(world)].node
         others = [n.node for n in world.nodes if n.node is not first]
         await wait_until(lambda: all(other.rates.reply > 0 for other in others))
         store, first.control.store = first.control.store, UnreachableStore()
-        pause_ms = await find_longest_pause(
+        pause_ms = await measure_longest_pause(
             others[0], lambda: not first.rates.coordinator
         )
         first.control.store = store
-        assert any(other.rates.is_holder() for other in others)
+        assert any(other.rates.is_coordinator() for other in others)
         assert pause_ms <= PAUSE_LIMIT_MS
 
 
-async def test_a_killed_holder_is_replaced_after_a_short_pause() -> None:
-    """A new holder waited for the lease of the earlier one, about 4 s in all."""
+async def test_killed_coordinator_is_replaced_after_a_short_pause() -> None:
+    """Failover took about 4 s when it waited for the earlier coordinator's lease."""
     async with open_world(nodes=3) as world:
-        lost = world.nodes.pop(find_holder(world))
+        lost = world.nodes.pop(find_coordinator(world))
         others = [running.node for running in world.nodes]
         await wait_until(lambda: all(other.rates.reply > 0 for other in others))
         await lost.stop()
@@ -148,61 +152,61 @@
             lambda: all(other.rates.epoch == read_epoch(world) for other in others),
             limit_s=TAKEOVER_LIMIT_S,
         )
-        assert all(other.rates.limiter.is_lending for other in others)
+        assert all(other.rates.limiter.is_delegating for other in others)
 
 
-async def test_a_node_that_alone_misses_the_holder_does_not_replace_it() -> None:
-    """A node with a bad network and the holder would take the duty in turn."""
+async def test_node_that_alone_loses_the_coordinator_does_not_replace_it() -> None:
+    """A node with a network fault and the coordinator would claim the duty in turn."""
     async with open_world(nodes=3) as world:
         epoch = read_epoch(world)
-        number = find_holder(world)
-        holder_name = world.nodes[number].node.options.node.name
+        number = find_coordinator(world)
+        coordinator_name = world.nodes[number].node.options.node.name
         cut_off = world.nodes[number - 1].node
-        partial = PartialPeers(cut_off.peers, holder_name)
+        partial = PartialPeers(cut_off.peers, coordinator_name)
         cut_off.rates.peers = cut_off.rates.succession.peers = partial  # type: ignore
         await asyncio.sleep(SETTLE_S)
         assert read_epoch(world) == epoch
 
 
-async def test_a_lost_answer_of_a_witness_is_not_taken_for_a_lost_holder() -> None:
-    """The only other node answered for seconds that it hears the holder."""
+async def test_lost_response_to_an_indirect_probe_does_not_start_a_failover() -> None:
+    """The probed node had reported contact with the coordinator until then."""
     async with open_world(nodes=3) as world:
-        number = find_holder(world)
-        holder_name = world.nodes[number].node.options.node.name
+        number = find_coordinator(world)
+        coordinator_name = world.nodes[number].node.options.node.name
         cut_off = world.nodes[number - 1].node
         succession = cut_off.rates.succession
-        partial = PartialPeers(cut_off.peers, holder_name)
+        partial = PartialPeers(cut_off.peers, coordinator_name)
         succession.peers = partial  # type: ignore[assignment]
         long_ago_ms = cut_off.clock.now_ms() - 10_000.0
         assert not await succession.is_agreed(long_ago_ms)
-        partial.missing = "*"
+        partial.unreachable = "*"
         assert not await succession.is_agreed(long_ago_ms)
         succession.witnessed_ms -= 3_000.0
         assert await succession.is_agreed(long_ago_ms)
 
 
-async def test_shares_are_returned_to_a_node_that_changes_the_holder() -> None:
-    """Without an answer it has to wait until its promise ends."""
+async def test_node_that_changes_the_coordinator_gets_its_shares_back() -> None:
+    """Otherwise it has to wait until its delegation expires."""
     async with open_world(nodes=2) as world:
-        number = find_holder(world)
-        holder, other = world.nodes[number].node, world.nodes[1 - number].node
+        number = find_coordinator(world)
+        coordinator, other = world.nodes[number].node, world.nodes[1 - number].node
         await wait_until(lambda: other.rates.reply > 0)
-        # Its own next exchange would lend the shares again.
+        # The next exchange of the node would delegate the shares again.
         task = world.nodes[1 - number].task
         task.cancel()
         await asyncio.wait((task,))
         limiter = other.rates.limiter
-        assert limiter.lent_until_ms > other.clock.now_ms()
+        assert limiter.delegated_until_ms > other.clock.now_ms()
         await other.rates.return_shares()
-        assert limiter.lent_until_ms <= other.clock.now_ms()
-        assert holder.rates.coordinator is not None
-        assert other.options.node.name not in holder.rates.coordinator.borrowers
+        assert limiter.delegated_until_ms <= other.clock.now_ms()
+        assert coordinator.rates.coordinator is not None
+        assert other.options.node.name not in coordinator.rates.coordinator.delegations
 
 
-async def test_the_share_of_a_node_that_is_gone_goes_to_the_others() -> None:
-    """A replaced VM would otherwise keep its part of every rate for good."""
+async def test_share_of_a_lost_node_goes_to_the_others() -> None:
+    """A replaced VM would otherwise keep its part of every rate permanently."""
     async with open_world(nodes=3) as world:
-        gone = world.nodes.pop(0 if find_holder(world) else 1)
+        gone = world.nodes.pop(0 if find_coordinator(world) else 1)
         name = gone.node.options.node.name
         await gone.stop()
         await wait_until(
@@ -210,29 +214,29 @@
         )
         control = world.nodes[0].node.control
         await wait_until(lambda: len(control.registered) == 2)
-        # It may not know yet, so nobody uses its share at once.
+        # The lost node may still use its share, so the others wait.
         assert len(control.nodes) == 3
         await wait_until(lambda: world.nodes[0].node.applied_nodes == 2)
 
 
-async def test_a_holder_that_was_out_of_touch_removes_nobody() -> None:
-    """It may have been replaced, and the others no longer ask it.
+async def test_coordinator_with_an_old_copy_removes_no_nodes() -> None:
+    """It may have been replaced, so that nodes no longer send it requests.
 
-    In an incident a deposed holder removed the records of two nodes that served.
+    In an incident, a replaced coordinator removed the records of two serving nodes.
     """
     async with open_world(nodes=2) as world:
-        holder = world.nodes[find_holder(world)].node
-        rates, control = holder.rates, holder.control
+        coordinator = world.nodes[find_coordinator(world)].node
+        rates, control = coordinator.rates, coordinator.control
         assert rates.coordinator is not None
-        rates.coordinator.since_ms = holder.clock.now_ms() - 10_000.0
-        rates.heard_ms.clear()
-        assert len(rates.list_silent_nodes()) == 1
-        control.confirmed_ms = holder.clock.now_ms() - 3_000.0
-        assert rates.list_silent_nodes() == ()
+        rates.coordinator.since_ms = coordinator.clock.now_ms() - 10_000.0
+        rates.last_request_ms.clear()
+        assert len(rates.list_unresponsive_nodes()) == 1
+        control.confirmed_ms = coordinator.clock.now_ms() - 3_000.0
+        assert rates.list_unresponsive_nodes() == ()
 
 
-async def test_a_node_whose_record_was_removed_registers_again() -> None:
-    """The holder may have lost only its own path to that node."""
+async def test_node_whose_record_was_removed_registers_again() -> None:
+    """The coordinator may have lost only its own path to that node."""
     async with open_world(nodes=2) as world:
         world.store.remove("radishtrack", "node.edge-2")
         await wait_until(lambda: ("radishtrack", "node.edge-2") in world.store.objects)
