--- a/src/radishtrack/pooler/node.py
+++ b/src/radishtrack/pooler/node.py
@@ -1,4 +1,4 @@
-"""A node of the session pooler: connects its parts and keeps their tasks running."""
+"""A node of the session pooler: connects its components and runs their tasks."""
 
 from __future__ import annotations
 
@@ -54,12 +54,12 @@
 from radishtrack.pooler.tasks import start_task
 
 UNLISTED_EXPIRY_MS: Final = 5_000.0
-"""Members that the store has not listed for so long get no more work: 2 s longer than
-entries need to come back after an outage, and 2 s less than the limit of 7 s."""
+"""Members that the store has not listed for this long get no more work: 2 s longer than
+entries take to return after an outage, and 2 s less than the limit of 7 s."""
 HOUSEKEEPING_MS: Final = 250.0
 """Pause between checks for expired members."""
 SECRET_RETRY_MS: Final = 300.0
-"""Pause after the store did not answer while a node starts."""
+"""Pause between attempts to read the peers' secret while a node starts."""
 
 
 @attrs.frozen
@@ -69,11 +69,12 @@
     Parameters
     ----------
     node : NodeRecord
-        Name, address for peers, zone and start of the node.
+        Name, address for peers, zone and start time of the node.
     grace_ms : float
-        Time between the request to stop and the kill.
+        Time from the stop request to the kill.
     key_age_limit_ms : float or None
-        Age of the configuration copy at which keys are no longer accepted.
+        Age of the configuration copy from which on keys are not accepted; None for no
+        limit.
     """
 
     node: NodeRecord
@@ -97,12 +98,12 @@
     groups: dict[str, GroupAccess] = attrs.field(factory=dict)
     monitors: dict[str, asyncio.Task[None]] = attrs.field(factory=dict)
     sessions: set[ClientSession] = attrs.field(factory=set)
-    applied_nodes: int = 0
-    """Nodes among which rates and connections are divided."""
+    applied_node_count: int = 0
+    """Number of nodes among which rates and connections are divided."""
     is_listening: bool = False
     """Whether peers can reach this node."""
     stop_plan: StopPlan | None = None
-    releasing: asyncio.Task[None] | None = None
+    release_task: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
         """Run all tasks; never returns."""
@@ -113,19 +114,19 @@
             tasks.create_task(self.promoter.run())
             tasks.create_task(self.rates.run())
             tasks.create_task(self.relay.run())
-            tasks.create_task(self._keep_house())
+            tasks.create_task(self._run_housekeeping())
 
     async def open_session(
         self, database: str, key: str | None
     ) -> ClientSession | Denied:
-        """Return a session for a new client connection, or why there is none."""
+        """Return a session for a new client connection, or why it is denied."""
         session = await make_session(self._context, database, key)
         if isinstance(session, ClientSession):
             self.sessions.add(session)
         return session
 
     async def close_session(self, session: ClientSession) -> None:
-        """End a session whose connection has ended."""
+        """Close the session of a connection that has ended."""
         self.sessions.discard(session)
         await session.close()
 
@@ -139,10 +140,10 @@
         )
 
     def begin_stop(self) -> StopPlan:
-        """Stop being ready; return when what happens."""
+        """Start the planned stop, unless it has started, and return its times."""
         if self.stop_plan is None:
             self.stop_plan = make_stop_plan(self.clock.now_ms(), self.options.grace_ms)
-            self.releasing = start_task(self.rates.release(), "release of the rates")
+            self.release_task = start_task(self.rates.release(), "release of the rates")
             log_event(
                 Event.NODE_DRAINING,
                 node=self.options.node.name,
@@ -151,7 +152,7 @@
         return self.stop_plan
 
     def find_group(self, name: str) -> GroupAccess:
-        """Return the access to a group."""
+        """Return the access to a group, creating it on first use."""
         access = self.groups.get(name)
         if access is None:
             access = make_group_access(
@@ -159,7 +160,7 @@
                 self.options.node.zone,
                 self.clock,
                 self.open_link,
-                self._knows_announcements,
+                self._has_all_announcements,
             )
             self.groups[name] = access
         return access
@@ -168,8 +169,8 @@
         """Apply the present copy of the store."""
         now_ms = self.clock.now_ms()
         catalog = self.control.catalog
-        self.applied_nodes = len(self.control.nodes)
-        nodes = max(1, self.applied_nodes)
+        self.applied_node_count = len(self.control.nodes)
+        nodes = max(1, self.applied_node_count)
         self.rates.configure()
         for name, settings in catalog.groups.items():
             self.find_group(name).configure(settings, nodes)
@@ -186,8 +187,8 @@
                 self._start_monitor(access, pool.member.name)
 
     def _start_monitor(self, access: GroupAccess, member: str) -> None:
-        running = self.monitors.get(member)
-        if running is None or running.done():
+        monitor_task = self.monitors.get(member)
+        if monitor_task is None or monitor_task.done():
             monitor = MemberMonitor(
                 access,
                 member,
@@ -197,7 +198,7 @@
             )
             self.monitors[member] = start_task(monitor.run(), f"monitor of {member}")
 
-    def _knows_announcements(self, max_age_ms: float) -> bool:
+    def _has_all_announcements(self, max_age_ms: float) -> bool:
         return self.is_listening and self.control.knows_announcements(max_age_ms)
 
     def _has_recent_keys(self) -> bool:
@@ -233,15 +234,15 @@
             catalog_age_ms=self.control.age_ms,
         )
 
-    async def _keep_house(self) -> None:
+    async def _run_housekeeping(self) -> None:
         while True:
             await asyncio.sleep(HOUSEKEEPING_MS / 1000)
-            if len(self.control.nodes) != self.applied_nodes:
+            if len(self.control.nodes) != self.applied_node_count:
                 self.apply_control()
             if self.options.key_age_limit_ms is not None:
                 await self._remove_unresponsive_nodes()
             if self.control.age_ms() > UNLISTED_EXPIRY_MS:
-                # Without the store nobody knows whether an entry has come back.
+                # The copy of the store may lack entries that have returned.
                 continue
             before_ms = self.clock.now_ms() - UNLISTED_EXPIRY_MS
             for access in self.groups.values():
@@ -249,9 +250,9 @@
                     log_event(Event.MEMBER_REMOVED, group=access.name, member=name)
 
     async def _remove_unresponsive_nodes(self) -> None:
-        """Remove the records of nodes that are gone; one that lives registers again.
+        """Remove the records of lost nodes; one that still runs registers again.
 
-        Only possible where a node without the store stops by itself.
+        Only safe if nodes that lose the store stop serving by themselves.
         """
         for name in self.rates.list_unresponsive_nodes():
             log_event(Event.NODE_REMOVED, node=name, by=self.options.node.name)
@@ -270,7 +271,7 @@
             execute=_refuse_execute,
             end_session=_ignore_session,
             end_connection=_ignore_connection,
-            call=self._answer_peer,
+            call=self._handle_peer_message,
             observe_control=lambda _size: None,
             incarnation=self.options.node.started_ms,
         )
@@ -278,7 +279,7 @@
         server = await start_peer_server(
             node.host, node.port, node.name, secret, handlers
         )
-        # Nobody could ask this node to withdraw its evidence before.
+        # Until now, no peer could request that this node invalidate its evidence.
         now_ms = self.clock.now_ms()
         for access in self.groups.values():
             access.evidence.withdraw_belief(now_ms)
@@ -286,7 +287,7 @@
         try:
             await server.wait_closed()
         finally:
-            # A node that has ended must not go on answering over open links.
+            # A node that has ended must not respond over open links.
             self.is_listening = False
             server.close()
 
@@ -303,7 +304,7 @@
                     )
                 await asyncio.sleep(SECRET_RETRY_MS / 1000)
 
-    async def _answer_peer(self, peer: str, message: Message) -> Message | None:
+    async def _handle_peer_message(self, peer: str, message: Message) -> Message | None:
         match message:
             case VoteRequest(request, database, member):
                 return Vote(request, await self.promoter.vote(database, member))
@@ -331,7 +332,7 @@
 
 async def _refuse_execute(_peer: str, _message: Execute) -> AsyncIterator[Message]:
     raise NotImplementedError("this node's peers forward no statements")
-    yield  # makes this function a generator, as the handlers' type demands
+    yield  # makes this function a generator, as PeerHandlers requires
 
 
 async def _ignore_session(_peer: str, _session: int) -> None:
@@ -350,7 +351,7 @@
     promote: PromoteMember,
     log: RequestLog,
 ) -> Node:
-    """Return a node; `Node.run` starts it."""
+    """Return a node, not yet running."""
     control = Control(store, clock, options.node, lambda: None)
     peers = Peers(options.node.name, clock, lambda: control.nodes)
     groups: dict[str, GroupAccess] = {}
--- a/src/radishtrack/pooler/readiness.py
+++ b/src/radishtrack/pooler/readiness.py
@@ -7,11 +7,11 @@
 import attrs
 
 KEEP_ACCEPTING_MS: Final = 2_600.0
-"""The balancer asks once a second and takes a node out after two misses."""
-FINISH_SHARE: Final = 0.5
-"""Part of the grace period in which open transactions may end."""
-EXIT_SHARE: Final = 0.8
-"""Part of the grace period after which the process exits whatever is left, ahead of
+"""The load balancer probes once a second and removes a node after two failed probes."""
+FINISH_FRACTION: Final = 0.5
+"""Fraction of the grace period in which open transactions may finish."""
+EXIT_FRACTION: Final = 0.8
+"""Fraction of the grace period after which the process exits in any case, to precede
 the kill."""
 
 
@@ -22,11 +22,11 @@
     Parameters
     ----------
     accept_until_ms : float
-        New connections are accepted until then.
+        End of accepting new connections.
     finish_until_ms : float
-        Open transactions may go on until then.
+        End of the time for open transactions to finish.
     exit_ms : float
-        The process exits at the latest then.
+        Latest time at which the process exits.
     """
 
     accept_until_ms: float
@@ -35,10 +35,10 @@
 
 
 def make_stop_plan(now_ms: float, grace_ms: float) -> StopPlan:
-    """Return the times of a stop that was asked for at `now_ms`."""
-    finish_until_ms = now_ms + FINISH_SHARE * grace_ms
+    """Return the times of a stop that was requested at `now_ms`."""
+    finish_until_ms = now_ms + FINISH_FRACTION * grace_ms
     return StopPlan(
         accept_until_ms=min(now_ms + KEEP_ACCEPTING_MS, finish_until_ms),
         finish_until_ms=finish_until_ms,
-        exit_ms=now_ms + EXIT_SHARE * grace_ms,
+        exit_ms=now_ms + EXIT_FRACTION * grace_ms,
     )
--- a/src/radishtrack/pooler/request_log.py
+++ b/src/radishtrack/pooler/request_log.py
@@ -1,4 +1,4 @@
-"""Log lines and metrics of operations, in a volume that is bounded under load."""
+"""Metrics and log lines of operations, with a limited volume of lines under load."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from radishtrack.pooler.session import ClientSession, Denied
 
 REFUSED_LINES_PER_S: Final = 40
-"""Refused or failed statements that get a line of their own; the rest is counted."""
+"""Log lines for refused, failed and slow statements; those beyond are only counted."""
 SERVED_LINES_PER_S: Final = 5
-"""Served statements that get a line, as a sample."""
-PERIOD_MS: Final = 1_000.0
+"""Log lines for served statements, as a sample."""
+LIMIT_PERIOD_MS: Final = 1_000.0
 SLOW_OBJECTIVES: Final = 1.0
-"""Statements that take longer than their objective are logged like refused ones."""
+"""Statements that take more latency objectives are logged like refused ones."""
 LATENCY_BUCKETS_S: Final = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6)
 
 
 @attrs.define(eq=False)
 class RequestLog:
-    """Counts and logs the results of statements; make it with `make_request_log`."""
+    """Counts and logs the results of statements; construct with `make_request_log`."""
 
     clock: Clock
     registry: CollectorRegistry
@@ -36,9 +36,9 @@
     suppressed: int = 0
 
     async def run(self) -> None:
-        """Report suppressed lines once a period; never returns."""
+        """Report suppressed lines and reset the limits every period; never returns."""
         while True:
-            await asyncio.sleep(PERIOD_MS / 1000)
+            await asyncio.sleep(LIMIT_PERIOD_MS / 1000)
             if self.suppressed:
                 log_event(Event.LINES_SUPPRESSED, lines=self.suppressed)
             self.refused_lines = self.served_lines = self.suppressed = 0
@@ -51,7 +51,7 @@
         result: Result,
         arrived_ms: float,
     ) -> None:
-        """Record what became of a statement."""
+        """Record the result of a statement."""
         access = session.access
         assert access is not None
         elapsed_ms = self.clock.now_ms() - arrived_ms
@@ -63,7 +63,7 @@
             self.latency.labels(read_class, step).observe(elapsed_ms / 1000)
         is_slow = elapsed_ms > SLOW_OBJECTIVES * access.route.objective_ms
         if refusal is not None or is_slow:
-            if not self._may_write():
+            if not self._admit_line():
                 return
         elif self.served_lines >= SERVED_LINES_PER_S:
             return
@@ -91,10 +91,10 @@
         )
 
     def observe_denied(self, database: str, denied: Denied, age_ms: float) -> None:
-        """Record that a session may not run anything."""
+        """Record that a session was denied access."""
         outcome = denied.refusal.name.lower()
         self.statements.labels("none", "access", outcome).inc()
-        if self._may_write():
+        if self._admit_line():
             log_event(
                 Event.CLIENT_REFUSED,
                 database=database,
@@ -103,8 +103,8 @@
                 configuration_age_ms=age_ms,
             )
 
-    def _may_write(self) -> bool:
-        """Tell whether another line fits into this second, and count it."""
+    def _admit_line(self) -> bool:
+        """Count one more line; return whether it is within the limit."""
         if self.refused_lines >= REFUSED_LINES_PER_S:
             self.suppressed += 1
             return False
--- a/src/radishtrack/pooler/statements.py
+++ b/src/radishtrack/pooler/statements.py
@@ -1,4 +1,4 @@
-"""Statements of clients and of the pooler itself, and their answers."""
+"""Statements of clients and of the pooler itself, and the responses to them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class TransactionState(enum.Enum):
-    """Where a session or member connection stands after an answer."""
+    """Transaction state of a session or member connection after a response."""
 
     IDLE = "idle"
     OPEN = "open"
@@ -46,7 +46,7 @@
         Refusal.NO_STATEMENT,
     }
 )
-"""Refusals of a member that say that the statement did not run."""
+"""Refusals of a member which mean that the statement did not run."""
 
 
 @attrs.frozen
@@ -70,7 +70,7 @@
 
 @attrs.frozen
 class Run:
-    """A read or write with its text, which members get unchanged."""
+    """A read or write; members get its text unchanged."""
 
     statement_id: str
     text: str
@@ -88,7 +88,7 @@
     name : str
         Name of the prepared statement.
     arguments : str
-        The rest of the statement, which members get unchanged.
+        Rest of the statement; members get it unchanged.
     """
 
     statement_id: str
@@ -115,43 +115,43 @@
 
 @attrs.frozen
 class Deallocate:
-    """Forgets a prepared statement."""
+    """Removes a prepared statement."""
 
     name: str
 
 
 @attrs.frozen
 class Discard:
-    """Forgets all values and prepared statements of a member connection."""
+    """Removes all values and prepared statements of a member connection."""
 
 
 @attrs.frozen
 class GetStatus:
-    """Asks a member for its report."""
+    """Requests a member's report."""
 
 
 @attrs.frozen
 class Fence:
-    """Tells a replica to receive nothing until a promotion for `term`."""
+    """Stops a replica from receiving the log until a promotion to `term`."""
 
     term: int
 
 
 @attrs.frozen
 class Unfence:
-    """Tells a replica to receive again."""
+    """Lets a fenced replica receive the log again."""
 
 
 @attrs.frozen
 class StepDown:
-    """Tells a primary of a lower term to become a replica."""
+    """Demotes a primary of a lower term than `term` to a replica."""
 
     term: int
 
 
 @attrs.frozen
 class InvalidStatement:
-    """A statement of a client that can't be understood."""
+    """A statement of a client that can't be parsed."""
 
     reason: str
 
@@ -185,7 +185,7 @@
 
 @attrs.frozen
 class MemberResponse:
-    """A member's complete answer to one statement.
+    """A member's complete response to one statement.
 
     Parameters
     ----------
@@ -216,7 +216,7 @@
 
 @attrs.frozen
 class ClientResponse:
-    """The answer to a client's statement."""
+    """The response to a client's statement."""
 
     state: TransactionState
     rows: tuple[str, ...] = ()
--- a/src/radishtrack/pooler/tasks.py
+++ b/src/radishtrack/pooler/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks whose unexpected errors show in the log."""
+"""Background tasks whose unexpected errors are logged."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from radishtrack.events import Event, log_event
 
 
-def start_task(work: Coroutine[None, None, None], name: str) -> asyncio.Task[None]:
-    """Start a task that nobody waits for; an error ends it and is logged."""
-    task = asyncio.create_task(work, name=name)
+def start_task(coroutine: Coroutine[None, None, None], name: str) -> asyncio.Task[None]:
+    """Start a background task and log the error if it fails."""
+    task = asyncio.create_task(coroutine, name=name)
     task.add_done_callback(_log_error)
     return task
 
--- a/tests/test_pooler_path.py
+++ b/tests/test_pooler_path.py
@@ -1,4 +1,4 @@
-"""Guards the whole path on the users' platform, from client to member and back."""
+"""Tests the path of statements on the platform, from client to member and back."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 )
 
 
-async def test_every_kind_of_statement_is_served() -> None:
-    """A client must get the member's own signature and rows, and a clean state."""
+async def test_all_kinds_of_statements_are_served() -> None:
+    """A client must get the member's rows and signature, and the session's state."""
     async with open_world() as world:
         for database in ("orders", "status", "receipts"):
             client = await world.connect(world.nodes[0], database)
@@ -34,8 +34,8 @@
             assert (await client.ask("EXECUTE s1 1a4 xy"))[0].startswith("ERROR NOSTMT")
 
 
-async def test_a_transaction_stays_on_one_connection_and_ends_idle() -> None:
-    """Statements of a transaction on different connections would lose its writes."""
+async def test_transaction_runs_on_one_connection_and_ends_idle() -> None:
+    """Statements on different connections would lose the transaction's writes."""
     async with open_world() as world:
         client = await world.connect(world.nodes[0], "orders")
         assert (await client.ask("BEGIN"))[-1] == "READY T -"
@@ -47,8 +47,8 @@
         assert (await client.ask("ROLLBACK")) == ["COMPLETE -", "READY I -"]
 
 
-async def test_values_and_prepared_names_do_not_cross_between_clients() -> None:
-    """A pooled connection carries the values and names of its earlier users."""
+async def test_values_and_prepared_names_are_separate_between_clients() -> None:
+    """A pooled connection keeps the values and names of its earlier users."""
     async with open_world() as world:
         first = await world.connect(world.nodes[0], "orders")
         second = await world.connect(world.nodes[0], "orders")
@@ -65,19 +65,19 @@
         ]
 
 
-async def test_members_learn_the_organisation_and_never_the_key() -> None:
+async def test_members_get_the_organisation_and_not_the_key() -> None:
     """A connection of one organisation must not run statements of another."""
     async with open_world() as world:
         verksted = await world.connect(world.nodes[0], "orders", KEY)
         storgata = await world.connect(world.nodes[0], "orders", OTHER_KEY)
         await verksted.ask("READ 1")
         await storgata.ask("READ 2")
-        told = {(who, text.split(" ")[-1]) for who, _, text in world.primary.ran}
-        assert told == {("verksted", "1"), ("storgata", "2")}
+        received = {(who, text.split(" ")[-1]) for who, _, text in world.primary.ran}
+        assert received == {("verksted", "1"), ("storgata", "2")}
 
 
 async def test_unknown_databases_and_keys_are_refused() -> None:
-    """A refused start must end the connection, and not the node."""
+    """A refused startup must end the connection, but not the node."""
     async with open_world() as world:
         for startup, code in (
             (f"STARTUP nowhere {KEY}", "ERROR NODB"),
@@ -90,8 +90,8 @@
             assert await is_closed(connection)
 
 
-async def test_a_database_added_a_moment_ago_is_found_at_once() -> None:
-    """Clients ask for a database right after its configuration was accepted."""
+async def test_new_database_is_available_immediately() -> None:
+    """Clients connect to a database right after its configuration was accepted."""
     async with open_world() as world:
         config = make_config(version=9)
         routes = config["routes"]
@@ -102,8 +102,8 @@
         assert (await client.ask("READ 1"))[-1] == "READY I -"
 
 
-async def test_malformed_input_costs_only_its_own_session() -> None:
-    """Words of the member protocol must not pass through to a member."""
+async def test_malformed_input_affects_only_its_own_session() -> None:
+    """Commands of the member protocol must not be forwarded to a member."""
     async with open_world() as world:
         client = await world.connect(world.nodes[0], "orders")
         for text in ("SINCE 1.0 READ 1", "STATUS", "PAUSE 9", "DISCARD", "READ", "x"):
@@ -118,8 +118,8 @@
         assert (await client.ask("READ 1"))[0].startswith("DATAROW")
 
 
-async def test_a_revoked_key_ends_open_sessions() -> None:
-    """A withdrawn key must stop working on connections that are already open."""
+async def test_revoked_key_ends_open_sessions() -> None:
+    """A revoked key must be rejected on open connections too."""
     async with open_world() as world:
         client = await world.connect(world.nodes[0], "orders")
         config = make_config(version=2)
@@ -133,8 +133,8 @@
         assert await is_closed(client.connection)
 
 
-async def test_keys_are_refused_when_the_store_is_out_of_reach() -> None:
-    """A node that can't confirm its keys for long must neither serve nor be ready."""
+async def test_keys_are_refused_when_the_store_is_unreachable() -> None:
+    """A node that can't confirm keys for too long must not serve nor be ready."""
     async with open_world() as world:
         node = world.nodes[0].node
         client = await world.connect(world.nodes[0], "orders")
@@ -146,8 +146,8 @@
         await wait_until(node.is_ready)
 
 
-async def test_entries_of_other_writers_name_no_member() -> None:
-    """One entry that can't be read must not hide the others."""
+async def test_invalid_entries_of_other_writers_are_ignored() -> None:
+    """One invalid entry must not hide the valid ones."""
     async with open_world() as world:
         world.store.put("servers", "i-bad", {"service": 7, "state": "ready"})
         world.store.put("servers", "i-text", "not an object")
--- a/tests/test_pooler_rates.py
+++ b/tests/test_pooler_rates.py
@@ -216,7 +216,7 @@
         await wait_until(lambda: len(control.registered) == 2)
         # The lost node may still use its share, so the others wait.
         assert len(control.nodes) == 3
-        await wait_until(lambda: world.nodes[0].node.applied_nodes == 2)
+        await wait_until(lambda: world.nodes[0].node.applied_node_count == 2)
 
 
 async def test_coordinator_with_an_old_copy_removes_no_nodes() -> None:
--- a/tests/test_pooler_request_log.py
+++ b/tests/test_pooler_request_log.py
@@ -1,4 +1,4 @@
-"""Guards that log lines stay bounded under load and explain what they report."""
+"""Tests that log lines are limited under load and contain what a diagnosis needs."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 async def test_refusals_are_logged_up_to_a_limit_and_counted_beyond(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """An overload must not turn into a flood of lines."""
+    """An overload must not produce an unlimited number of lines."""
     caplog.set_level("INFO", logger="absl")
     async with open_world() as world:
         client = await world.connect(world.nodes[0], "orders")
@@ -32,10 +32,10 @@
         assert "id=q2" in caplog.text
 
 
-async def test_a_line_names_request_inputs_and_outcome(
+async def test_line_contains_request_inputs_and_outcome(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """An engineer has the identifier and the log, and nothing else."""
+    """For a diagnosis only the statement identifier and the log are available."""
     caplog.set_level("INFO", logger="absl")
     async with open_world() as world:
         client = await world.connect(world.nodes[0], "orders")
@@ -52,8 +52,8 @@
         assert fields | {"attempts", "elapsed_ms", "group", "detail"} <= line.keys()
 
 
-def test_a_full_pipe_never_blocks_the_process() -> None:
-    """Whoever reads the log may be slow; lines are dropped and counted."""
+def test_full_pipe_does_not_block_the_process() -> None:
+    """If the reader of the log is slow, lines are dropped and counted."""
     reader, writer = os.pipe()
     handler = NonBlockingHandler(writer)
     handler.setFormatter(LineFormatter())
--- a/tests/test_pooler_stop.py
+++ b/tests/test_pooler_stop.py
@@ -1,4 +1,4 @@
-"""Guards a planned stop: no request is cut, and the node leaves in time."""
+"""Tests a planned stop: no request is interrupted, and the node exits in time."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from tests.pooler_world import is_closed, open_world
 
 
-def test_the_stop_fits_into_the_grace_period() -> None:
+def test_stop_ends_within_the_grace_period() -> None:
     plan = make_stop_plan(1_000.0, 6_000.0)
     assert plan.accept_until_ms <= plan.finish_until_ms < plan.exit_ms < 7_000.0
 
 
 async def test_idle_sessions_end_and_transactions_finish() -> None:
-    """The balancer still sends connections until it has missed two probes."""
+    """The load balancer sends connections until two probes have failed."""
     async with open_world() as world:
         running = world.nodes[0]
         idle = await world.connect(running, "orders")
--- a/tests/test_pooler_wire.py
+++ b/tests/test_pooler_wire.py
@@ -1,4 +1,4 @@
-"""Guards the platform's words: what is passed on, what is refused, what is decoded."""
+"""Tests the encoding and decoding of the platform's line protocol and documents."""
 
 from __future__ import annotations
 
@@ -53,20 +53,20 @@
         ("COMMIT", Commit("q")),
     ],
 )
-def test_statements_are_understood(text: str, statement: object) -> None:
+def test_statements_are_parsed(text: str, statement: object) -> None:
     assert parse_query(f"QUERY q {text}") == statement
 
 
 @pytest.mark.parametrize(
     "text", ["SINCE 1.1 READ a", "STATUS", "BEGIN WRITE", "read a", "PREPARE s X q"]
 )
-def test_other_words_never_reach_a_member(text: str) -> None:
+def test_other_commands_are_not_forwarded_to_members(text: str) -> None:
     """A client could otherwise fence or step down members."""
     assert isinstance(parse_query(f"QUERY q {text}"), InvalidStatement)
 
 
 @pytest.mark.parametrize("line", ["", "HELLO", "QUERY", "QUERY q", "QUERY q "])
-def test_lines_that_are_no_query_end_the_session(line: str) -> None:
+def test_line_that_is_not_a_query_is_rejected(line: str) -> None:
     with pytest.raises(WireError):
         parse_query(line)
 
@@ -100,19 +100,19 @@
         ["nonsense", "COMPLETE s", "READY I -"],
     ],
 )
-def test_answers_that_are_not_whole_are_not_answers(lines: list[str]) -> None:
-    """A cut or crossed answer must not be taken for a result."""
+def test_incomplete_responses_are_rejected(lines: list[str]) -> None:
+    """A truncated or interleaved response must not be returned as a result."""
     with pytest.raises(WireError):
         parse_answer(lines, has_report=False)
 
 
-def test_an_unknown_code_is_no_promise() -> None:
-    """Codes that say that nothing ran are a promise to the client."""
-    answer = parse_answer(["ERROR STRANGE x", "READY I -"], has_report=False)
-    assert answer.refusal is Refusal.EXECUTION_FAILED
+def test_unknown_error_code_means_that_the_statement_ran() -> None:
+    """Clients rely on the codes that say that the statement did not run."""
+    response = parse_answer(["ERROR STRANGE x", "READY I -"], has_report=False)
+    assert response.refusal is Refusal.EXECUTION_FAILED
 
 
-def test_a_status_row_is_decoded() -> None:
+def test_status_row_is_decoded() -> None:
     report = parse_report("replica 3 3.1209 4 12.5 2 17")
     assert report.role is Role.REPLICA and report.position == Position(3, 1209)
     assert report.is_fenced and report.lag_ms == 12.5
@@ -121,15 +121,15 @@
             parse_report(row)
 
 
-def test_an_error_text_stays_on_one_line() -> None:
-    """A line break in a message would look like an answer of its own."""
-    answer = ClientResponse(
+def test_error_text_stays_on_one_line() -> None:
+    """A line break in a message would look like another response."""
+    response = ClientResponse(
         TransactionState.IDLE, refusal=Refusal.BUSY, detail="a\r\nREADY I -"
     )
-    assert format_client_answer(answer) == "ERROR BUSY a READY I -\r\nREADY I -"
+    assert format_client_answer(response) == "ERROR BUSY a READY I -\r\nREADY I -"
 
 
-def test_the_configuration_is_decoded_once() -> None:
+def test_configuration_is_decoded_without_the_keys() -> None:
     catalog = parse_catalog(StoredObject("main", 7, make_config()))
     assert catalog.routes["status"].read_class is ReadClass.AGED
     assert catalog.routes["status"].max_age_ms == 1500
@@ -147,10 +147,10 @@
         ("tenants", [{"name": "a"}]),
     ],
 )
-def test_a_configuration_that_is_not_understood_is_refused_whole(
+def test_invalid_configuration_is_rejected_as_a_whole(
     field: str, value: object
 ) -> None:
-    """Half of a configuration could drop routes that are in force."""
+    """A partly accepted configuration could drop routes that are in use."""
     with pytest.raises(DocumentError):
         parse_catalog(StoredObject("main", 7, make_config() | {field: value}))
 
@@ -179,8 +179,8 @@
         ("born", 5.5),
     ],
 )
-def test_an_invalid_entry_names_no_member(field: str, value: object) -> None:
-    """Entries come from other writers too."""
+def test_invalid_entry_is_rejected(field: str, value: object) -> None:
+    """Other programs write entries too."""
     assert parse_member(StoredObject("i-1", 1, MEMBER)).started_ms == 5
     with pytest.raises(DocumentError):
         parse_member(StoredObject("i-1", 1, MEMBER | {field: value}))
@@ -193,7 +193,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "{", "[]", "{}", '{"nodeName": "a"}'])
-def test_settings_that_are_half_written_are_refused(text: str) -> None:
-    """The file may be read while it is written; the node keeps what it has."""
+def test_partly_written_settings_are_rejected(text: str) -> None:
+    """The file may be read while it is written; the node keeps its settings."""
     with pytest.raises(SettingsError):
         parse_settings(text)
