--- a/src/radishtrack/pooler/execution.py
+++ b/src/radishtrack/pooler/execution.py
@@ -31,8 +31,8 @@
 unresponsive, so the read is retried at another member."""
 MIN_READ_ATTEMPT_MS: Final = 300.0
 """Lower bound of that timeout."""
-CONFIRM_MS: Final = 300.0
-"""Wait for evidence after a commit; two polls take a few milliseconds."""
+CONFIRM_TIMEOUT_MS: Final = 300.0
+"""Longest wait for evidence after a commit; two polls take a few milliseconds."""
 LATE_RESPONSE_MS: Final = 250.0
 """A statement without a response for this long triggers a poll of the member."""
 
@@ -283,7 +283,7 @@
     """
     if result.response.refusal is not None:
         return result
-    until_ms = access.clock.now_ms() + CONFIRM_MS
+    until_ms = access.clock.now_ms() + CONFIRM_TIMEOUT_MS
     if await access.confirm_term(result.member, term, until_ms):
         return result
     detail = "the primary may have been replaced meanwhile"
--- a/src/radishtrack/pooler/rate_limit.py
+++ b/src/radishtrack/pooler/rate_limit.py
@@ -11,12 +11,12 @@
 from radishtrack.pooler.shares import DELEGATION_MS, GRANT_MS, even_share
 
 SECOND_MS: Final = 1_000.0
-PREFETCH_MIN_OPERATIONS: Final = 4
-"""Operations since the last exchange from which on tokens are requested in advance.
+PREFETCH_MIN_USED: Final = 4
+"""Tokens used since the last exchange from which on more are requested in advance.
 With fewer, most tokens would expire unused, which costs small organisations their
 rate."""
 PREFETCH_FRACTION: Final = 0.5
-"""Fraction of these operations for which tokens are requested in advance."""
+"""Fraction of these tokens that is requested in advance."""
 
 
 @attrs.define
@@ -60,7 +60,7 @@
     """Granted tokens that are not used yet."""
     expires_ms: float = 0.0
     used: int = 0
-    """Operations since the last exchange."""
+    """Granted tokens that were used since the last exchange."""
     waiting: int = 0
     """Operations that wait for a token."""
     refused_until_ms: float = 0.0
@@ -135,7 +135,7 @@
         self.delegated_until_ms = min(self.delegated_until_ms, now_ms)
 
     def collect_requests(self, now_ms: float) -> tuple[tuple[str, int], ...]:
-        """Return the tokens to request, and restart the count of operations."""
+        """Return the tokens to request, and reset the counts of used tokens."""
         return tuple(self._collect_requests(now_ms))
 
     def record_grants(
@@ -152,11 +152,11 @@
             if demand is None:
                 continue
             if tokens:
-                left = demand.tokens if now_ms < demand.expires_ms else 0
-                demand.tokens = left + tokens
+                unused_tokens = demand.tokens if now_ms < demand.expires_ms else 0
+                demand.tokens = unused_tokens + tokens
                 # All tokens expire with the oldest, so that one expiry time suffices.
                 expires_ms = requested_ms + GRANT_MS
-                if left:
+                if unused_tokens:
                     expires_ms = min(expires_ms, demand.expires_ms)
                 demand.expires_ms = expires_ms
             elif wait_ms > 0:
@@ -164,11 +164,11 @@
 
     def _collect_requests(self, now_ms: float) -> Iterable[tuple[str, int]]:
         for name, demand in self.demands.items():
-            ahead = 0
-            if demand.used >= PREFETCH_MIN_OPERATIONS:
-                ahead = int(demand.used * PREFETCH_FRACTION)
-            left = demand.tokens if now_ms < demand.expires_ms else 0
-            requested = demand.waiting + max(0, ahead - left)
+            prefetch = 0
+            if demand.used >= PREFETCH_MIN_USED:
+                prefetch = int(demand.used * PREFETCH_FRACTION)
+            unused_tokens = demand.tokens if now_ms < demand.expires_ms else 0
+            requested = demand.waiting + max(0, prefetch - unused_tokens)
             demand.used = 0
             if requested and now_ms >= demand.refused_until_ms:
                 yield name, requested
--- a/src/radishtrack/pooler/transaction.py
+++ b/src/radishtrack/pooler/transaction.py
@@ -34,8 +34,8 @@
 from radishtrack.session.position import Position
 
 ROLLBACK_TIMEOUT_MS: Final = 500.0
-"""A rollback does not wait for a slot of the member. After the timeout the
-connection is closed, which rolls back as well."""
+"""A rollback does not wait for a slot of the member. After the timeout the connection
+is closed, which rolls back as well."""
 
 
 @attrs.define(eq=False)
--- a/tests/test_pooler_rates.py
+++ b/tests/test_pooler_rates.py
@@ -16,7 +16,7 @@
 
 SETTLE_S = 4.0
 PAUSE_LIMIT_MS = 1_700.0
-"""Time to detect a lost coordinator, 0.7 s, and of a delegation to it, 1 s."""
+"""Time to detect a lost coordinator, 0.7 s, and duration of a delegation, 1 s."""
 TAKEOVER_LIMIT_S = 2.2
 """The same plus two exchanges."""
 ADMIT_WAIT_MS = 40.0
@@ -99,7 +99,7 @@
         assert all(n.node.rates.limiter.is_delegating for n in world.nodes)
 
 
-async def test_stopping_coordinator_is_replaced_without_a_pause() -> None:
+async def test_stopping_coordinator_hands_over_its_duty() -> None:
     """In a rolling restart, rates would otherwise pause with every coordinator."""
     async with open_world(nodes=2) as world:
         number = find_coordinator(world)
@@ -126,7 +126,9 @@
                 await asyncio.sleep(0.02)
 
 
-async def test_coordinator_without_the_store_is_replaced_without_a_pause() -> None:
+async def test_coordinator_that_loses_the_store_is_replaced_after_a_short_pause() -> (
+    None
+):
     """Organisations were refused for seconds when the coordinator lost the store."""
     async with open_world(nodes=3) as world:
         first = world.nodes[find_coordinator(world)].node
