--- a/src/radishtrack/pooler/node.py
+++ b/src/radishtrack/pooler/node.py
@@ -44,9 +44,9 @@
 from radishtrack.pooler.request_log import RequestLog
 from radishtrack.pooler.session import (
     OPEN_ORGANISATION,
-    Access,
     ClientSession,
     Denied,
+    SessionAccess,
     SessionContext,
     make_session,
 )
@@ -205,7 +205,9 @@
         limit_ms = self.options.key_age_limit_ms
         return limit_ms is None or self.control.age_ms() < limit_ms
 
-    def _authorise(self, database: str, key_digest: bytes | None) -> Access | Denied:
+    def _authorise(
+        self, database: str, key_digest: bytes | None
+    ) -> SessionAccess | Denied:
         catalog = self.control.catalog
         route = catalog.routes.get(database)
         if route is None:
@@ -213,13 +215,13 @@
         if not self._has_recent_keys():
             return Denied(Refusal.BUSY, "the configuration can't be confirmed now")
         if route.is_open:
-            return Access(route, OPEN_ORGANISATION, False)
+            return SessionAccess(route, OPEN_ORGANISATION, False)
         if key_digest is None:
             return Denied(Refusal.NO_ACCESS, "the database needs a key")
         owner = catalog.key_owners.get(key_digest)
         if owner is None:
             return Denied(Refusal.NO_ACCESS, "the key is not accepted")
-        return Access(route, owner.name, True)
+        return SessionAccess(route, owner.name, True)
 
     @property
     def _context(self) -> SessionContext:
--- a/src/radishtrack/pooler/session.py
+++ b/src/radishtrack/pooler/session.py
@@ -57,7 +57,7 @@
 
 
 @attrs.frozen
-class Access:
+class SessionAccess:
     """Route and organisation of a session under the current configuration."""
 
     route: Route
@@ -93,7 +93,7 @@
     """
 
     clock: Clock
-    authorise: Callable[[str, bytes | None], Access | Denied]
+    authorise: Callable[[str, bytes | None], SessionAccess | Denied]
     refresh: Callable[[Hashable], Awaitable[None]]
     admit: Callable[[str, float], Awaitable[bool]]
     find_group: Callable[[str], GroupAccess]
@@ -118,7 +118,7 @@
     positions: dict[str, Position] = attrs.field(factory=dict)
     """Log position after this session's last commit, by group."""
     transaction: Transaction | None = None
-    access: Access | None = None
+    access: SessionAccess | None = None
     """Access of the current operation; it changes only between transactions."""
     must_close: bool = False
     """Whether the frontend has to close the connection after this response."""
@@ -260,16 +260,16 @@
         return self._complete()
 
     def _make_request(
-        self, access: Access, prepare: Prepare | None, arrived_ms: float
+        self, access: SessionAccess, prepare: Prepare | None, arrived_ms: float
     ) -> Request:
         plan = make_attempt_plan(access.route, arrived_ms)
         return Request(access.organisation, access.route, self.values, prepare, plan)
 
-    def _require_access(self) -> Access:
+    def _require_access(self) -> SessionAccess:
         assert self.access is not None
         return self.access
 
-    async def _acquire_token(self, access: Access) -> bool:
+    async def _acquire_token(self, access: SessionAccess) -> bool:
         if not access.is_limited:
             return True
         wait_ms = ADMISSION_OBJECTIVES * access.route.objective_ms
