--- a/src/radishtrack/platform/member_link.py
+++ b/src/radishtrack/platform/member_link.py
@@ -20,9 +20,9 @@
 from radishtrack.pooler.catalog import Member
 from radishtrack.pooler.ports import LinkLost, LinkRefused
 from radishtrack.pooler.statements import (
-    AskStatus,
     Fence,
-    MemberAnswer,
+    GetStatus,
+    MemberResponse,
     MemberStatement,
     Refusal,
     StepDown,
@@ -30,7 +30,7 @@
 )
 from radishtrack.session.position import Position
 
-REPORTING: Final = (AskStatus, Fence, Unfence, StepDown)
+REPORTING: Final = (GetStatus, Fence, Unfence, StepDown)
 """Statements that are answered by a status row."""
 MAX_ANSWER_LINES: Final = 10_000
 """An answer with more lines is given up, which bounds its memory."""
@@ -53,7 +53,7 @@
         *,
         min_position: Position | None,
         timeout_ms: float,
-    ) -> MemberAnswer:
+    ) -> MemberResponse:
         """Run a statement; see `MemberLink.run`."""
         if self.is_closed:
             self.connection.close()
--- a/src/radishtrack/pooler/monitor.py
+++ b/src/radishtrack/pooler/monitor.py
@@ -19,7 +19,7 @@
 from radishtrack.pooler.member_pool import MemberPool
 from radishtrack.pooler.ports import LinkLost, LinkRefused
 from radishtrack.pooler.statements import (
-    AskStatus,
+    GetStatus,
     MemberStatement,
     Refusal,
     StepDown,
@@ -106,7 +106,7 @@
     async def poll(self, pool: MemberPool) -> None:
         """Request one report and correct a member that missed a promotion."""
         pool.polled_ms = self.clock.now_ms()
-        report = await self._request_report(pool, AskStatus())
+        report = await self._request_report(pool, GetStatus())
         if report is None:
             return
         correction = find_correction(self.access, report)
@@ -146,7 +146,7 @@
     pool : MemberPool
         The member's connections.
     statement : MemberStatement
-        `AskStatus`, `Fence`, `Unfence` or `StepDown`.
+        `GetStatus`, `Fence`, `Unfence` or `StepDown`.
     organisation : str
         Organisation for a connection that has to be opened.
     clock : Clock
@@ -221,7 +221,7 @@
 
 
 def _record_response(access: GroupAccess, pool: MemberPool, now_ms: float) -> None:
-    pool.heard_ms = now_ms
+    pool.last_response_ms = now_ms
     pool.failures = 0
     if not pool.is_reachable:
         pool.is_reachable = True
@@ -235,7 +235,7 @@
     now_ms: float,
     has_no_listener: bool,
 ) -> None:
-    silent_ms = now_ms - pool.heard_ms
+    silent_ms = now_ms - pool.last_response_ms
     pool.failures += 1
     is_unresponsive = (
         silent_ms >= UNREACHABLE_AFTER_MS and pool.failures >= FAILURES_TO_SUSPECT
--- a/src/radishtrack/pooler/ports.py
+++ b/src/radishtrack/pooler/ports.py
@@ -9,7 +9,7 @@
 import attrs
 
 from radishtrack.pooler.catalog import Catalog, Member, NodeRecord
-from radishtrack.pooler.statements import MemberAnswer, MemberStatement
+from radishtrack.pooler.statements import MemberResponse, MemberStatement
 from radishtrack.session.position import Position
 
 
@@ -73,7 +73,7 @@
         *,
         min_position: Position | None,
         timeout_ms: float,
-    ) -> MemberAnswer:
+    ) -> MemberResponse:
         """Run a statement and return its complete response.
 
         Parameters
--- a/src/radishtrack/pooler/promoter.py
+++ b/src/radishtrack/pooler/promoter.py
@@ -30,7 +30,7 @@
 )
 from radishtrack.pooler.promotion_duty import PromotionDuty
 from radishtrack.pooler.rank import rank_node
-from radishtrack.pooler.statements import AskStatus, Fence, MemberStatement, Unfence
+from radishtrack.pooler.statements import Fence, GetStatus, MemberStatement, Unfence
 from radishtrack.pooler.tasks import start_task
 
 CHECK_INTERVAL_MS: Final = 100.0
@@ -144,13 +144,13 @@
             return True
         if state is not None and state.reason_since_ms is not None:
             return True
-        if self.clock.now_ms() - pool.heard_ms <= VOTE_RECENT_RESPONSE_MS:
+        if self.clock.now_ms() - pool.last_response_ms <= VOTE_RECENT_RESPONSE_MS:
             return False
         # An idle member sends no responses, so a poll has to show whether it is alive.
         try:
             async with asyncio.timeout(VOTE_POLL_MS / 1000):
                 (report,) = await self._request_reports(
-                    access, [member], AskStatus()
+                    access, [member], GetStatus()
                 ) or (None,)
         except TimeoutError:
             return True
@@ -313,7 +313,7 @@
     ) -> dict[str, MemberReport]:
         """Return new reports of fenced members; a restart removes a member's fence."""
         names = [name for name in access.pools if name != old_primary]
-        reports = await self._request_reports(access, names, AskStatus())
+        reports = await self._request_reports(access, names, GetStatus())
         return {
             report.member: report for report in reports if report.fenced_term >= term
         }
@@ -325,7 +325,7 @@
     async def _await_primary(self, access: GroupAccess, member: str, term: int) -> bool:
         until_ms = self.clock.now_ms() + CONFIRM_PROMOTION_MS
         while self.clock.now_ms() < until_ms:
-            (report,) = await self._request_reports(access, [member], AskStatus()) or (
+            (report,) = await self._request_reports(access, [member], GetStatus()) or (
                 None,
             )
             is_primary = report is not None and report.role is Role.PRIMARY
--- a/tests/pooler_world.py
+++ b/tests/pooler_world.py
@@ -191,12 +191,12 @@
 
 def _is_ready(simulation: Simulation) -> bool:
     """Return whether all nodes have evidence and the rate coordinator has tokens."""
-    holders = [running.node.rates.holder for running in simulation.nodes]
+    coordinators = [running.node.rates.coordinator for running in simulation.nodes]
     tokens = [
         share.bucket.available()
-        for holder in holders
-        if holder is not None
-        for share in holder.buckets.values()
+        for coordinator in coordinators
+        if coordinator is not None
+        for share in coordinator.buckets.values()
     ]
     if not simulation.nodes:
         return True
