--- a/src/radishtrack/proxy/assembly.py
+++ b/src/radishtrack/proxy/assembly.py
@@ -32,7 +32,7 @@
 from radishtrack.proxy.holder import Holder
 from radishtrack.proxy.node import NodeServer
 from radishtrack.proxy.promoter import Promoter, make_promoter
-from radishtrack.proxy.promoter_place import PromoterPlace
+from radishtrack.proxy.promoter_context import PromoterContext
 from radishtrack.proxy.rates import Rates
 from radishtrack.proxy.router import Router
 from radishtrack.proxy.slots import MakePromoter, Slots
@@ -198,7 +198,7 @@
             return backend.leaving() if backend else frozenset()
 
         return make_promoter(
-            PromoterPlace(
+            PromoterContext(
                 slots.node.id, compute_rank, list_voters, list_members_leaving
             ),
             record,
--- a/src/radishtrack/proxy/promoter.py
+++ b/src/radishtrack/proxy/promoter.py
@@ -55,7 +55,7 @@
     StoreConflictError,
     StoreUnavailableError,
 )
-from radishtrack.proxy.promoter_place import PromoterPlace, RequestVotes
+from radishtrack.proxy.promoter_context import PromoterContext, RequestVotes
 from radishtrack.proxy.switchover import Switchover
 
 TICK_MS: Final = 100.0
@@ -77,14 +77,14 @@
 
     def __init__(
         self,
-        place: PromoterPlace,
+        context: PromoterContext,
         record: GroupRecord,
         monitor: Monitor,
         store: GroupStore,
         commands: MemberCommands,
         request_votes: RequestVotes,
     ) -> None:
-        self.place = place
+        self.context = context
         self.record = record
         self.monitor = monitor
         self.store = store
@@ -93,7 +93,7 @@
         self.fencing = FencingWatch()
         self.suspected_ms: float | None = None
         self.not_before_ms = 0.0
-        self.switchover = Switchover(place, monitor, commands)
+        self.switchover = Switchover(context, monitor, commands)
         self.repaired_ms: dict[str, float] = {}
         self.read_ms = 0.0
         self.attempt: PromotionAttempt | None = None
@@ -144,7 +144,7 @@
 
     def _find_reason(self, now_ms: float) -> Message | None:
         group = self.record.group
-        rank = self.place.rank()
+        rank = self.context.rank()
         self.fencing.observe(self._recent_statuses(now_ms), group, now_ms)
         if not self.monitor.is_suspected(group.primary):
             self.suspected_ms = None
@@ -169,9 +169,9 @@
     async def _attempt(self, first: Message) -> None:
         attempt = make_promotion_attempt(
             self.record.group,
-            f"{self.place.node}-{uuid.uuid4()}",
-            self.place.voters(),
-            self.place.leaving(),
+            f"{self.context.node}-{uuid.uuid4()}",
+            self.context.voters(),
+            self.context.leaving(),
         )
         self.attempt = attempt
         self.messages = asyncio.Queue()
@@ -259,7 +259,7 @@
                 votes.update(await self.request_votes(self.database, primary))
         except (OSError, TimeoutError):
             pass
-        votes[self.place.node] = self.monitor.is_suspected(primary)
+        votes[self.context.node] = self.monitor.is_suspected(primary)
         messages.put_nowait(VotesReceived(votes))
 
     async def _read_group(self) -> None:
@@ -361,7 +361,7 @@
 
 
 def make_promoter(
-    place: PromoterPlace,
+    context: PromoterContext,
     record: GroupRecord,
     monitor: Monitor,
     store: GroupStore,
@@ -372,7 +372,7 @@
 
     Parameters
     ----------
-    place : PromoterPlace
+    context : PromoterContext
         This node's place among the voters.
     record : GroupRecord
         The latest known record.
@@ -391,4 +391,4 @@
     Promoter
         Call `start` in a running event loop.
     """
-    return Promoter(place, record, monitor, store, commands, request_votes)
+    return Promoter(context, record, monitor, store, commands, request_votes)
--- a/src/radishtrack/proxy/promoter_place.py
+++ b/src/radishtrack/proxy/promoter_context.py
@@ -12,7 +12,7 @@
 
 
 @attrs.define(frozen=True)
-class PromoterPlace:
+class PromoterContext:
     """Place of a node among the voters of a database.
 
     Parameters
--- a/src/radishtrack/proxy/switchover.py
+++ b/src/radishtrack/proxy/switchover.py
@@ -17,7 +17,7 @@
 from radishtrack.group.record import GroupRecord
 from radishtrack.group.status import MemberStatus
 from radishtrack.group.switchover import has_caught_up, should_switch_over
-from radishtrack.proxy.promoter_place import PromoterPlace
+from radishtrack.proxy.promoter_context import PromoterContext
 
 PAUSE_MS: Final = 30_000.0
 """Time between two attempts to relieve a leaving primary: each stops its commits."""
@@ -32,7 +32,7 @@
 
     Parameters
     ----------
-    place : PromoterPlace
+    context : PromoterContext
         This node's place among the voters.
     monitor : Monitor
         Status of the members.
@@ -40,7 +40,7 @@
         Fences the primary.
     """
 
-    place: PromoterPlace
+    context: PromoterContext
     monitor: Monitor
     commands: MemberCommands
     not_before_ms: float = 0.0
@@ -52,10 +52,10 @@
         again.
         """
         clock, group = self.monitor.clock, record.group
-        leaving = self.place.leaving()
+        leaving = self.context.leaving()
         now_ms = clock.now_ms()
         if now_ms < self.not_before_ms or not should_switch_over(
-            group, statuses, leaving, self.place.rank()
+            group, statuses, leaving, self.context.rank()
         ):
             return False
         self.not_before_ms = now_ms + PAUSE_MS
--- a/tests/test_group_failover.py
+++ b/tests/test_group_failover.py
@@ -34,7 +34,7 @@
 from radishtrack.objects.client import PlatformClient, make_platform_client
 from radishtrack.proxy.group_store import GroupStore, make_group_store
 from radishtrack.proxy.promoter import Promoter, make_promoter
-from radishtrack.proxy.promoter_place import PromoterPlace
+from radishtrack.proxy.promoter_context import PromoterContext
 from radishtrack.session.position import TermStart
 from radishtrack_standins.member import MemberSettings, RunningMember, start_member
 from radishtrack_standins.platform import RunningPlatform, start_platform
@@ -143,11 +143,16 @@
             record.group, record.endpoints, clock, connect=connect
         )
         monitors[node].start()
-        place = PromoterPlace(
+        context = PromoterContext(
             node, lambda rank=rank: rank, lambda: NODES, lambda: frozenset()
         )
         promoters[node] = make_promoter(
-            place, record, monitors[node], store, MemberCommands(connect), request_votes
+            context,
+            record,
+            monitors[node],
+            store,
+            MemberCommands(connect),
+            request_votes,
         )
         promoters[node].start()
     try:
