--- a/src/radishtrack/proxy/entry.py
+++ b/src/radishtrack/proxy/entry.py
@@ -1,4 +1,4 @@
-"""The entry's side of a request: key, options, class, route and session."""
+"""The entry's part of a request: key, options, read class, route and session."""
 
 from __future__ import annotations
 
@@ -51,22 +51,22 @@
 from radishtrack.session.position import Position
 from radishtrack.session.token import decode_token
 
-_ENDING_KINDS: Final = frozenset({Kind.COMMIT.value, Kind.ROLLBACK.value})
-_ANY_CLASS: Final = EffectiveClass(ReadClass.STRICT)
+_TRANSACTION_END_KINDS: Final = frozenset({Kind.COMMIT.value, Kind.ROLLBACK.value})
+_DEFAULT_CLASS: Final = EffectiveClass(ReadClass.STRICT)
 
 
 @attrs.define
 class Entry:
-    """Decides on each statement of the clients of this node.
+    """Checks, classifies and forwards the statements of this node's clients.
 
     Parameters
     ----------
     clock : Clock
-        Time of deadlines.
+        Clock of deadlines.
     secret : bytes
         Authenticates session tokens.
     timeout_ms : float
-        Time of a request for which the client states none, in milliseconds.
+        Timeout of a request for which the client sets none, in milliseconds.
     max_statement_bytes : int
         Longest statement that is accepted.
     keyring : Keyring
@@ -82,7 +82,7 @@
     drain : Drain
         State of a planned stop.
     metrics : Metrics
-        What is measured for each organisation.
+        Metrics by organisation.
     """
 
     clock: Clock
@@ -98,7 +98,7 @@
     metrics: Metrics
     running: int = 0
     refused_until_ms: dict[str, float] = attrs.field(factory=dict)
-    """Organisations over their rate, and when a retry makes sense."""
+    """Earliest time of a retry, by organisation that is over its rate."""
 
     def check_client(self, state: ClientState) -> None:
         """Check that the client may still send statements.
@@ -106,15 +106,15 @@
         Raises
         ------
         RequestError
-            Not run, if its key was revoked or can't be checked, or the node stops.
+            Not run, if the key was revoked or can't be checked, or the node drains.
         """
         if state.organisation != OPEN_ORGANISATION and not self.keyring.is_active(
             state.organisation, state.key_id
         ):
             raise _make_denied("the key is not valid")
-        stale = self.check_freshness()
-        if stale is not None:
-            raise make_not_run("keys", f"keys can't be checked: {stale.reason}")
+        refusal = self.check_freshness()
+        if refusal is not None:
+            raise make_not_run("keys", f"keys can't be checked: {refusal.reason}")
         decision = self.drain.decide_statement(in_transaction=state.in_transaction)
         if decision is DrainDecision.REFUSE:
             raise RequestError(
@@ -123,19 +123,20 @@
                     self.router.node.id,
                     Outcome.NOT_RUN,
                     ErrorCode.DRAINING,
-                    "this node stops; connect again",
+                    "this node is shutting down; connect again",
                 )
             )
 
     def read_statement(self, state: ClientState, sql: str) -> PreparedRequest:
-        """Parse options and classify.
+        """Parse the options of a statement and classify it.
 
         Raises
         ------
         RequestError
-            Not run, for invalid options, a refused statement or one with a key in it.
+            Not run, if an option is invalid, or the statement is refused or contains
+            a key.
         """
-        # Options are checked too: a request ID is written into the journal.
+        # Options are searched for keys too: a request ID is stored in the journal.
         if self.keyring.contains_key(sql):
             raise make_not_run("keys", "the statement contains a key")
         options, statement_text = split_options(sql)
@@ -147,10 +148,10 @@
         return PreparedRequest(options, statement, statement_text)
 
     def apply_token(self, state: ClientState, text: str) -> None:
-        """Take over the positions in a session token.
+        """Add the positions in a session token to the session.
 
-        A token that does not count makes all reads strict until the session has
-        positions of its own: what the client wrote before is not known.
+        An invalid token makes all reads strict until the session has positions of its
+        own, since the client's earlier writes are unknown.
         """
         decoded = decode_token(text, state.organisation, self.secret)
         if decoded.is_error():
@@ -161,15 +162,15 @@
             advance_position(state, database, position)
 
     async def execute(self, state: ClientState, prepared: PreparedRequest) -> Reply:
-        """Execute a statement and return its answer, which may still be streaming.
+        """Execute a statement and return its reply, which may still be streaming.
 
         Raises
         ------
         RequestError
-            With the outcome that is known.
+            With the outcome, as far as it is known.
         """
         if state.transaction_lost:
-            return self._end_lost(state, prepared.statement.kind)
+            return self._end_lost_transaction(state, prepared.statement.kind)
         if prepared.statement.kind is Kind.BEGIN and state.in_transaction:
             # MySQL commits the open transaction before it begins another.
             await self.execute(state, COMMIT_REQUEST)
@@ -182,22 +183,21 @@
             done = self._finish(state, first, prepared, started_ms)
         return Reply(done=done)
 
-    def note_refusal(self, state: ClientState, failure: Failure) -> None:
-        """Count a request that did not run."""
+    def count_not_run(self, state: ClientState, failure: Failure) -> None:
+        """Count a failed request in the metrics if it did not run."""
         if failure.outcome is Outcome.NOT_RUN:
             reason = find_refusal_reason(failure)
             self.metrics.count_refusal(state.organisation, reason)
 
     async def end_session(self, state: ClientState) -> None:
-        """Roll back what the client has open."""
+        """Roll back the client's open transaction, if any."""
         if state.holder:
             await self.router.end_session(state.holder, state.number)
         state.in_transaction = False
         state.holder = ""
 
-    def _end_lost(self, state: ClientState, kind: Kind) -> Reply:
-        # Statements that the client sends as part of the lost transaction must not
-        # run on their own.
+    def _end_lost_transaction(self, state: ClientState, kind: Kind) -> Reply:
+        # The remaining statements of a lost transaction must not run outside it.
         if kind in (Kind.COMMIT, Kind.ROLLBACK):
             state.transaction_lost = False
         if kind is Kind.ROLLBACK:
@@ -213,14 +213,14 @@
             organisation = check_access(
                 self.get_document(), state, database, prepared.statement
             )
-            wants_transaction = not state.autocommit and prepared.statement.kind in (
+            needs_transaction = not state.autocommit and prepared.statement.kind in (
                 Kind.READ,
                 Kind.WRITE,
             )
-            if wants_transaction and not state.in_transaction:
+            if needs_transaction and not state.in_transaction:
                 await self._begin_implicit(state, database)
             request = self._make_execute(state, database, organisation, prepared)
-            self._check_known_refusal(request.organisation)
+            self._check_cached_refusal(request.organisation)
             is_read = prepared.statement.kind is Kind.READ
             async for message in self._send(state, database, request, is_read):
                 yield message
@@ -231,7 +231,7 @@
         self, state: ClientState, database: Database, request: Execute, is_read: bool
     ) -> AsyncIterator[Message]:
         if state.holder:
-            # Everything of a session with a transaction goes to the same holder.
+            # All statements of a transaction go to the same holder.
             numbered = attrs.evolve(request, request=next(self.router.numbers))
             messages = self.router.execute_at(state.holder, numbered)
         else:
@@ -241,14 +241,14 @@
                 database.slots,
                 find_affinity(self.get_document(), request.organisation),
             )
-            # A transaction that was begun and is not used has no effect, so that a
-            # failed BEGIN may be sent to another holder like a read.
-            begins = request.kind == Kind.BEGIN.value
+            # An empty transaction has no effect, so that a failed BEGIN may be sent to
+            # another holder like a read.
+            is_begin = request.kind == Kind.BEGIN.value
             messages = self.router.execute(
                 holders,
                 request,
-                is_read=is_read or begins,
-                when_sent=partial(setattr, state, "holder") if begins else None,
+                is_read=is_read or is_begin,
+                on_attempt=partial(setattr, state, "holder") if is_begin else None,
             )
         try:
             async with aclosing(messages):  # type: ignore[type-var]
@@ -256,9 +256,10 @@
                     yield message
         except RequestError:
             if state.holder:
-                # The holder or the way to it failed; it rolls back by itself.
+                # The holder, or the connection to it, failed; the holder rolls back
+                # without being asked.
                 state.transaction_lost = (
-                    state.in_transaction and request.kind not in _ENDING_KINDS
+                    state.in_transaction and request.kind not in _TRANSACTION_END_KINDS
                 )
                 await self.end_session(state)
             raise
@@ -282,7 +283,7 @@
     ) -> Execute:
         options, statement = prepared.options, prepared.statement
         position = state.positions.get(database.name)
-        effective = _ANY_CLASS
+        effective = _DEFAULT_CLASS
         if statement.kind is Kind.READ:
             route = find_route(self.get_document(), database, statement)
             effective = resolve_read_class(
@@ -315,7 +316,7 @@
             statement.dirties_session,
         )
 
-    def _check_known_refusal(self, organisation: str) -> None:
+    def _check_cached_refusal(self, organisation: str) -> None:
         until_ms = self.refused_until_ms.get(organisation)
         if until_ms is None:
             return
@@ -332,7 +333,7 @@
         started_ms: float,
     ) -> Done:
         if isinstance(message, Failed):
-            self._note_failed(state, message)
+            self._record_failure(state, message)
             raise RequestError(_make_failure(message))
         if not isinstance(message, Done):
             raise make_not_run("forward", "the holder sent an unexpected message")
@@ -353,7 +354,7 @@
             self.metrics.count_read(message.role)
         return message
 
-    def _note_failed(self, state: ClientState, message: Failed) -> None:
+    def _record_failure(self, state: ClientState, message: Failed) -> None:
         if message.transaction_lost:
             state.in_transaction = True
         elif not state.in_transaction:
@@ -376,7 +377,7 @@
                     self._finish(state, message, None, started_ms)
                     return
         # Without the final message the result is not complete.
-        raise make_not_run("forward", "the result broke off")
+        raise make_not_run("forward", "the result ended before its last message")
 
 
 def make_over_rate(retry_after_ms: float) -> RequestError:
--- a/src/radishtrack/proxy/holder.py
+++ b/src/radishtrack/proxy/holder.py
@@ -1,4 +1,4 @@
-"""The holder's side of a request: admission, execution and the typed answer."""
+"""The holder's part of a request: admission, execution and the typed response."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 Admit = Callable[[DatabaseBackend, str, float], Awaitable[None]]
 """Takes database, organisation and deadline in milliseconds; raises `RequestError` if
-the request is over the organisation's rate or can't be served in time."""
+the request exceeds the organisation's rate or can't be served in time."""
 
 
 @attrs.define
@@ -39,19 +39,19 @@
     Parameters
     ----------
     clock : Clock
-        Time of deadlines.
+        Clock of deadlines.
     admit : callable
-        Admission by the organisation's rate.
+        Admits requests by the organisation's rate.
     usage : UsageCounter
-        Counts what each organisation uses.
+        Usage of each organisation.
     find_owner : callable
         Returns the owner of an organisation.
     databases : dict of str to DatabaseBackend
-        The databases held, by name.
+        Databases that this node holds, by name.
     transactions : dict
         Open transactions by connection and session.
     lost_sessions : set
-        Sessions whose transaction was lost and that have not ended it yet.
+        Sessions whose transaction was lost and whose client has not ended it yet.
     """
 
     clock: Clock
@@ -66,23 +66,25 @@
     async def execute(
         self, connection: str, request: Execute
     ) -> AsyncIterator[Message]:
-        """Execute one statement; every failure becomes a `Failed` message."""
+        """Execute one statement and yield any failure as a `Failed` message."""
         key = (connection, request.session)
         started_ms = self.clock.now_ms()
         self.running += 1
         try:
-            answers = self._dispatch(key, request, started_ms + request.timeout_ms)
-            async for message in answers:
-                self._count(request, message, started_ms)
+            messages = self._dispatch(key, request, started_ms + request.timeout_ms)
+            async for message in messages:
+                self._count_usage(request, message, started_ms)
                 yield message
         except RequestError as error:
             yield await self._make_failed(key, request, error.failure)
         except MemberError as error:
-            yield await self._make_failed(key, request, _describe(error))
+            yield await self._make_failed(key, request, _make_failure(error))
         finally:
             self.running -= 1
 
-    def _count(self, request: Execute, message: Message, started_ms: float) -> None:
+    def _count_usage(
+        self, request: Execute, message: Message, started_ms: float
+    ) -> None:
         key = UsageKey(request.organisation, self.find_owner(request.organisation))
         if isinstance(message, Rows):
             size = sum(len(value or "") for row in message.rows for value in row)
@@ -105,15 +107,15 @@
     async def end_connection(self, connection: str) -> None:
         """Roll back the transactions of all sessions of a connection."""
         keys = {*self.transactions, *self.lost_sessions}
-        for owner, session in keys:
-            if owner == connection:
-                await self.end_session(owner, session)
+        for session_connection, session in keys:
+            if session_connection == connection:
+                await self.end_session(session_connection, session)
 
-    async def end_idle(self, limit_ms: float) -> None:
+    async def end_idle_transactions(self, limit_ms: float) -> None:
         """Roll back transactions that were not used for `limit_ms` milliseconds."""
-        oldest_ms = self.clock.now_ms() - limit_ms
+        idle_since_ms = self.clock.now_ms() - limit_ms
         for key, transaction in tuple(self.transactions.items()):
-            if not transaction.is_busy and transaction.last_used_ms < oldest_ms:
+            if not transaction.is_busy and transaction.last_used_ms < idle_since_ms:
                 del self.transactions[key]
                 self.lost_sessions.add(key)
                 await transaction.roll_back()
@@ -124,12 +126,12 @@
         kind = Kind(request.kind)
         transaction = self.transactions.get(key)
         if key in self.lost_sessions:
-            yield self._end_lost(key, request, kind)
+            yield self._end_lost_transaction(key, request, kind)
             return
         if transaction is not None:
             transaction.backend.active += 1
             try:
-                async for message in self._continue(
+                async for message in self._run_in_transaction(
                     key, transaction, request, deadline_ms
                 ):
                     yield message
@@ -144,35 +146,36 @@
             raise make_not_run("hold", f"no slot of {request.database} is held here")
         backend.active += 1
         try:
-            async for message in self._start(key, backend, request, deadline_ms):
+            async for message in self._run_outside_transaction(
+                key, backend, request, deadline_ms
+            ):
                 yield message
         finally:
             backend.active -= 1
 
-    async def _start(
+    async def _run_outside_transaction(
         self,
         key: SessionKey,
         backend: DatabaseBackend,
         request: Execute,
         deadline_ms: float,
     ) -> AsyncIterator[Message]:
-        """Run a statement of a session without an open transaction."""
         kind = Kind(request.kind)
         await self.admit(backend, request.organisation, deadline_ms)
         backend.retries.count_request(self.clock.now_ms())
         if kind is Kind.BEGIN:
-            opened = await begin_transaction(backend, request, deadline_ms)
-            self.transactions[key] = opened
+            transaction = await begin_transaction(backend, request, deadline_ms)
+            self.transactions[key] = transaction
             yield attrs.evolve(_make_empty_done(request), in_transaction=True)
         elif kind is Kind.READ:
             async for message in run_read(backend, request, deadline_ms):
                 yield message
         else:
-            entry = _make_entry(request)
+            entry = _make_journal_entry(request)
             async for message in run_write(backend, request, deadline_ms, entry):
                 yield message
 
-    async def _continue(
+    async def _run_in_transaction(
         self,
         key: SessionKey,
         transaction: Transaction,
@@ -181,9 +184,13 @@
     ) -> AsyncIterator[Message]:
         kind = Kind(request.kind)
         if transaction.organisation != request.organisation:
-            raise make_not_run("transaction", "belongs to another organisation")
+            raise make_not_run(
+                "transaction", "the open transaction belongs to another organisation"
+            )
         if transaction.backend.name != request.database:
-            raise make_not_run("transaction", "is open in another database")
+            raise make_not_run(
+                "transaction", "the open transaction uses another database"
+            )
         if kind in (Kind.BEGIN, Kind.DDL):
             raise make_not_run("transaction", "end the open transaction first")
         if request.request_id:
@@ -197,7 +204,7 @@
             await transaction.roll_back()
             yield _make_empty_done(request)
             return
-        # Each statement counts against the rate, also inside a transaction.
+        # Each statement of a transaction counts against the rate.
         await self.admit(transaction.backend, request.organisation, deadline_ms)
         transaction.is_busy = True
         try:
@@ -207,17 +214,18 @@
             transaction.is_busy = False
             transaction.last_used_ms = self.clock.now_ms()
             if transaction.connection.in_doubt:
-                await self._drop(key, transaction)
+                await self._mark_lost(key, transaction)
 
-    async def _drop(self, key: SessionKey, transaction: Transaction) -> None:
+    async def _mark_lost(self, key: SessionKey, transaction: Transaction) -> None:
         if self.transactions.pop(key, None) is not None:
             self.lost_sessions.add(key)
             transaction.connection.close()
             await transaction.resources.aclose()
 
-    def _end_lost(self, key: SessionKey, request: Execute, kind: Kind) -> Message:
-        # Statements that the client sends as part of the lost transaction must not
-        # run on their own.
+    def _end_lost_transaction(
+        self, key: SessionKey, request: Execute, kind: Kind
+    ) -> Message:
+        # The remaining statements of a lost transaction must not run outside it.
         if kind in (Kind.COMMIT, Kind.ROLLBACK):
             self.lost_sessions.discard(key)
         if kind is Kind.ROLLBACK:
@@ -229,7 +237,7 @@
     ) -> Failed:
         transaction = self.transactions.get(key)
         if failure.step == TRANSACTION_LOST_STEP and transaction is not None:
-            await self._drop(key, transaction)
+            await self._mark_lost(key, transaction)
         return Failed(
             request.request,
             failure.step,
@@ -242,7 +250,7 @@
         )
 
 
-def _make_entry(request: Execute) -> JournalEntry | None:
+def _make_journal_entry(request: Execute) -> JournalEntry | None:
     if not request.request_id:
         return None
     try:
@@ -255,6 +263,6 @@
     return Done(request.request, 0, 0, 0, 0, "", "", False)
 
 
-def _describe(error: MemberError) -> Failure:
-    # The member refused the statement as a whole, so nothing of it took effect.
+def _make_failure(error: MemberError) -> Failure:
+    # The member rejected the whole statement, so no part of it took effect.
     return Failure("execute", "", Outcome.NOT_RUN, error.code, error.message)
--- a/src/radishtrack/proxy/node.py
+++ b/src/radishtrack/proxy/node.py
@@ -349,10 +349,10 @@
         await asyncio.sleep(STEP_S)
         try:
             async with asyncio.timeout(max(0.0, interval_s - STEP_S)):
-                await self.router.list_wanted.wait()
+                await self.router.list_refresh.wait()
         except TimeoutError:
             pass
-        self.router.list_wanted.clear()
+        self.router.list_refresh.clear()
 
     async def _announce(self, state: VmState) -> None:
         record = VmRecord(
@@ -383,7 +383,7 @@
         limit_ms = self.settings.limits.idle_transaction_ms
         while True:
             await asyncio.sleep(min(1.0, limit_ms / 2000))
-            await self.holder.end_idle(limit_ms)
+            await self.holder.end_idle_transactions(limit_ms)
 
 
 def _make_node(record: VmRecord) -> Node:
--- a/src/radishtrack/proxy/router.py
+++ b/src/radishtrack/proxy/router.py
@@ -21,12 +21,13 @@
 from radishtrack.routing.statement import Kind
 
 LOCAL_CONNECTION: Final = "local"
-ANSWER_GRACE_MS: Final = 250.0
-"""Added to a request's time at the holder, so that its own refusal arrives first."""
+RESPONSE_GRACE_MS: Final = 250.0
+"""Added to the holder's timeout of a request, so that its own refusal arrives first."""
 
 NOT_HELD_STEP: Final = "hold"
 FORWARD_STEP: Final = "forward"
-"""The peer or the way to it failed, which other failures don't show."""
+"""Step of failures of the peer or the connection to it; others don't count against the
+peer."""
 
 OpenLink = Callable[[str], Awaitable[PeerLink]]
 """Takes ``host:port``; raises `LinkClosed`."""
@@ -41,17 +42,18 @@
     node : Node
         This node.
     clock : Clock
-        Time of deadlines.
+        Clock of deadlines.
     holder : Holder
         This node's own holder.
     membership : Membership
-        The nodes that are known.
+        The known nodes.
     placement : Placement
         The holders of each database.
     open_link : callable
         Connects to a peer.
     observe_control : callable
-        Takes the size of messages to peers that are not part of a statement.
+        Takes the size in bytes of each message to peers that is not part of a
+        statement.
     """
 
     node: Node
@@ -62,8 +64,8 @@
     open_link: OpenLink
     observe_control: Callable[[int], None]
     links: dict[str, PeerLink] = attrs.field(factory=dict)
-    list_wanted: asyncio.Event = attrs.field(factory=asyncio.Event)
-    """Set when the list of nodes should be read now."""
+    list_refresh: asyncio.Event = attrs.field(factory=asyncio.Event)
+    """Set to have the platform's list of nodes read at once."""
     opening: dict[str, asyncio.Lock] = attrs.field(factory=dict)
     numbers: itertools.count[int] = attrs.field(factory=lambda: itertools.count(1))
 
@@ -77,15 +79,15 @@
         database, region : str
             The database and its region.
         slots : int
-            How many nodes hold it.
+            Number of nodes that hold it.
         affinity : str
-            If given, the order depends on this text and not on the distance, so that
-            all nodes prefer the same holder for it.
+            If given, the order depends on this text instead of the distance, so that
+            all nodes prefer the same holder.
         """
         nodes = self.placement.place_slots(database, region, slots)
         if affinity:
             return tuple(sorted(nodes, key=partial(compute_weight, affinity)))
-        return tuple(sorted(nodes, key=self._distance))
+        return tuple(sorted(nodes, key=self._make_distance_key))
 
     async def execute(
         self,
@@ -93,33 +95,44 @@
         request: Execute,
         *,
         is_read: bool,
-        when_sent: Callable[[str], None] | None = None,
+        on_attempt: Callable[[str], None] | None = None,
     ) -> AsyncIterator[Message]:
-        """Execute a statement at the first holder that takes it.
+        """Execute a statement at the first holder that accepts it.
 
-        Another holder is tried if the statement provably did not run, or is a read of
-        which nothing has been passed on.
+        Another holder is tried if the statement certainly did not run, or is a read of
+        which no message has been yielded yet.
+
+        Parameters
+        ----------
+        holders : tuple of str
+            Nodes in order of preference.
+        request : Execute
+            The statement.
+        is_read : bool
+            Whether the statement may run twice.
+        on_attempt : callable, optional
+            Takes the name of each holder before the statement is sent to it.
 
         Raises
         ------
         RequestError
-            With the outcome that is known.
+            With the outcome, as far as it is known.
         """
         deadline_ms = self.clock.now_ms() + request.timeout_ms
-        last: RequestError | None = None
+        last_error: RequestError | None = None
         for position, name in enumerate(holders):
-            left_ms = deadline_ms - self.clock.now_ms()
-            if left_ms <= 0:
+            remaining_ms = deadline_ms - self.clock.now_ms()
+            if remaining_ms <= 0:
                 break
             is_last = position == len(holders) - 1
-            # A read leaves time for another holder; a frozen one answers nothing.
-            limit_ms = left_ms if is_last or not is_read else left_ms / 2
+            # A read leaves time to try another holder if this one is unresponsive.
+            share_ms = remaining_ms if is_last or not is_read else remaining_ms / 2
             has_yielded = False
             try:
-                if when_sent is not None:
-                    when_sent(name)
+                if on_attempt is not None:
+                    on_attempt(name)
                 attempt = attrs.evolve(
-                    request, request=next(self.numbers), timeout_ms=limit_ms
+                    request, request=next(self.numbers), timeout_ms=share_ms
                 )
                 async for message in self.execute_at(name, attempt):
                     if _is_not_held(message) and not is_last:
@@ -134,11 +147,13 @@
                 if request.kind == Kind.BEGIN.value:
                     # The holder may have opened the transaction before the failure.
                     await self.end_session(name, request.session)
-                may_move = is_read or error.failure.outcome is Outcome.NOT_RUN
-                if has_yielded or not may_move:
+                may_retry = is_read or error.failure.outcome is Outcome.NOT_RUN
+                if has_yielded or not may_retry:
                     raise
-                last = error
-        raise last or make_not_run("forward", "no holder of the database is known")
+                last_error = error
+        raise last_error or make_not_run(
+            "forward", "no holder of the database is known"
+        )
 
     async def execute_at(self, name: str, request: Execute) -> AsyncIterator[Message]:
         """Execute a statement at one holder.
@@ -146,7 +161,7 @@
         Raises
         ------
         RequestError
-            Not run if the holder can't be reached; unknown if its answer is missing.
+            Not run if the holder can't be reached; unknown if it does not respond.
         """
         if name == self.node.id:
             local = self.holder.execute(LOCAL_CONNECTION, request)
@@ -158,23 +173,23 @@
             link = await self.get_link(name)
         except LinkClosed as error:
             raise make_not_run("forward", str(error), peer=name) from error
-        limit_s = (request.timeout_ms + ANSWER_GRACE_MS) / 1000
+        timeout_s = (request.timeout_ms + RESPONSE_GRACE_MS) / 1000
         messages = link.execute(request)
         async with aclosing(messages):  # type: ignore[type-var]
             while True:
                 try:
-                    async with asyncio.timeout(limit_s):
+                    async with asyncio.timeout(timeout_s):
                         message = await anext(messages)
                 except StopAsyncIteration:
                     return
                 except TimeoutError as error:
                     raise make_unknown(
-                        "forward", "the holder did not answer in time", peer=name
+                        "forward", "the holder did not respond in time", peer=name
                     ) from error
                 yield message
 
     async def end_session(self, name: str, session: int) -> None:
-        """Roll back what a session has open at a holder."""
+        """Roll back the open transaction of a session at a holder."""
         if name == self.node.id:
             await self.holder.end_session(LOCAL_CONNECTION, session)
             return
@@ -183,11 +198,11 @@
             try:
                 await link.send(EndSession(session))
             except LinkClosed:
-                # The holder ends all sessions of a lost connection.
+                # The holder itself ends all sessions of a lost connection.
                 return
 
     async def get_link(self, name: str) -> PeerLink:
-        """Return the connection to a peer, opening it if need be.
+        """Return the connection to a peer, opening it if necessary.
 
         Raises
         ------
@@ -201,13 +216,13 @@
             link = self.links.get(name)
             if link is not None and not link.closed:
                 return link
-            found = self.membership.find_node(name)
-            if found is None or not found.peer_address:
-                # A peer that was named by another one joined since the last reading
-                # of the platform's list.
-                self.list_wanted.set()
-                raise LinkClosed(f"peer {name} is not known")
-            link = await self.open_link(found.peer_address)
+            peer = self.membership.find_node(name)
+            if peer is None or not peer.peer_address:
+                # Another peer named it: it joined after the platform's list was last
+                # read.
+                self.list_refresh.set()
+                raise LinkClosed(f"unknown peer {name}")
+            link = await self.open_link(peer.peer_address)
             link.observe_control = self.observe_control
             self.links[name] = link
             self.membership.record_response(name, link.incarnation)
@@ -218,11 +233,11 @@
         for link in self.links.values():
             await link.close()
 
-    def _distance(self, name: str) -> tuple[bool, bool, str]:
+    def _make_distance_key(self, name: str) -> tuple[bool, bool, str]:
         if name == self.node.id:
             return (False, False, name)
-        found = self.membership.find_node(name)
-        return (True, found is None or found.zone != self.node.zone, name)
+        peer = self.membership.find_node(name)
+        return (True, peer is None or peer.zone != self.node.zone, name)
 
 
 def _is_not_held(message: Message) -> bool:
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -155,7 +155,7 @@
     world = make_world([DONE], [DONE])
     with pytest.raises(LinkClosed):
         await world.router.get_link("p9")
-    assert world.router.list_wanted.is_set()
+    assert world.router.list_refresh.is_set()
 
 
 def test_an_affinity_gives_every_node_the_same_order() -> None:
