--- a/src/radishtrack/proxy/node.py
+++ b/src/radishtrack/proxy/node.py
@@ -261,9 +261,9 @@
     async def _answer_peer(self, peer: str, message: Message) -> Message | None:
         match message:
             case VoteRequest():
-                return await self.votes.answer(message)
+                return await self.votes.handle_vote_request(message)
             case RecordRequest():
-                return self.votes.answer_record(message)
+                return self.votes.handle_record_request(message)
             case KeysChanged():
                 self.copies.take_changed(message)
             case TokensWanted():
--- a/src/radishtrack/proxy/promoter.py
+++ b/src/radishtrack/proxy/promoter.py
@@ -59,21 +59,21 @@
 from radishtrack.proxy.switchover import Switchover
 
 TICK_MS: Final = 100.0
-"""Time between two looks at the members' statuses."""
+"""Time between two checks of the members' statuses."""
 
 PAUSE_MS: Final = 1_000.0
 """Time between two attempts, two repairs of a member or two reads of the record."""
 
-ANSWER_TIMEOUT_MS: Final = 500.0
-"""Time for an answer of the platform; one step of an attempt."""
+PLATFORM_TIMEOUT_MS: Final = 500.0
+"""Timeout of a call to the platform, which is one step of an attempt."""
 
 VOTES_TIMEOUT_MS: Final = 1_500.0
-"""Time for the votes; longer than a step, because one voter that is down must not make
-the node drop the votes of the others."""
+"""Timeout of the request for votes; longer than a step, so that the votes of the others
+count although one voter is down."""
 
 
 class Promoter:
-    """Promotions of one database; see `make_promoter`."""
+    """Promotes members of one database; see `make_promoter`."""
 
     def __init__(
         self,
@@ -95,7 +95,7 @@
         self.not_before_ms = 0.0
         self.switchover = Switchover(context, monitor, commands)
         self.repaired_ms: dict[str, float] = {}
-        self.read_ms = 0.0
+        self.record_read_ms = 0.0
         self.attempt: PromotionAttempt | None = None
         self.messages: asyncio.Queue[Message] = asyncio.Queue()
         self.tasks: set[asyncio.Task[None]] = set()
@@ -107,11 +107,11 @@
         return self.record.group.database
 
     def start(self) -> None:
-        """Start to watch the members."""
+        """Start to check the members periodically."""
         self.loop_task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Cancel everything; another holder completes an attempt that is under way."""
+        """Cancel all tasks; another holder completes an attempt that is under way."""
         tasks = [*self.tasks]
         if self.loop_task is not None:
             tasks.append(self.loop_task)
@@ -129,23 +129,23 @@
 
     async def _run(self) -> None:
         while True:
-            first = self._find_reason(self.monitor.clock.now_ms())
-            if first is None:
+            trigger = self._find_trigger(self.monitor.clock.now_ms())
+            if trigger is None:
                 now_ms = self.monitor.clock.now_ms()
-                statuses = self._recent_statuses(now_ms)
+                statuses = self._list_recent_statuses(now_ms)
                 if await self.switchover.prepare(self.record, statuses):
-                    first = FencingAbandoned()
-            if first is None:
+                    trigger = FencingAbandoned()
+            if trigger is None:
                 self._repair(self.monitor.clock.now_ms())
                 await asyncio.sleep(TICK_MS / 1000)
                 continue
-            await self._attempt(first)
+            await self._run_attempt(trigger)
             self.not_before_ms = self.monitor.clock.now_ms() + PAUSE_MS
 
-    def _find_reason(self, now_ms: float) -> Message | None:
+    def _find_trigger(self, now_ms: float) -> Message | None:
         group = self.record.group
         rank = self.context.rank()
-        self.fencing.observe(self._recent_statuses(now_ms), group, now_ms)
+        self.fencing.observe(self._list_recent_statuses(now_ms), group, now_ms)
         if not self.monitor.is_suspected(group.primary):
             self.suspected_ms = None
         elif self.suspected_ms is None:
@@ -159,14 +159,14 @@
         due_ms = self.suspected_ms + start_delay_ms(rank)
         return PrimarySuspected() if now_ms >= due_ms else None
 
-    def _recent_statuses(self, now_ms: float) -> list[MemberStatus]:
+    def _list_recent_statuses(self, now_ms: float) -> list[MemberStatus]:
         return [
             status
             for member, status in self.monitor.latest.items()
             if now_ms - self.monitor.answered_ms(member) <= SUSPICION_MS
         ]
 
-    async def _attempt(self, first: Message) -> None:
+    async def _run_attempt(self, trigger: Message) -> None:
         attempt = make_promotion_attempt(
             self.record.group,
             f"{self.context.node}-{uuid.uuid4()}",
@@ -178,16 +178,16 @@
         primary = self.record.group.primary
         event = (
             Event.PRIMARY_SUSPECTED
-            if isinstance(first, PrimarySuspected)
+            if isinstance(trigger, PrimarySuspected)
             else Event.PROMOTION_STARTED
         )
         log_event(event, database=self.database, primary=primary)
-        message = first
+        message = trigger
         while True:
-            step = attempt.state
+            previous_step = attempt.state
             for action in attempt.handle(message, self.monitor.clock.now_ms()):
                 self._perform(action)
-            self._log_step(attempt, step)
+            self._log_step(attempt, previous_step)
             if attempt.is_over:
                 return
             message = await self._next_message(attempt, primary)
@@ -206,12 +206,12 @@
                 async with asyncio.timeout(wait_ms / 1000):
                     return await self.messages.get()
             except TimeoutError:
-                early = attempt.state in (Step.VOTING, Step.READING)
-                if early and not self.monitor.is_suspected(primary):
+                can_stop = attempt.state in (Step.VOTING, Step.READING)
+                if can_stop and not self.monitor.is_suspected(primary):
                     return PrimaryResponded()
 
-    def _log_step(self, attempt: PromotionAttempt, before: Step) -> None:
-        if attempt.state is before:
+    def _log_step(self, attempt: PromotionAttempt, previous_step: Step) -> None:
+        if attempt.state is previous_step:
             return
         event = {
             Step.READING: Event.PROMOTION_STARTED,
@@ -231,14 +231,14 @@
     def _perform(self, action: Action) -> None:
         match action:
             case CollectVotes():
-                self._spawn(self._ask_votes(self.record.group.primary))
+                self._spawn(self._collect_votes(self.record.group.primary))
             case ReadGroup():
                 self._spawn(self._read_group())
             case FenceMembers(members, _, term):
                 for member in members:
                     self._spawn(self._fence(member, term))
             case RecordGroup(group, expected_version):
-                self._spawn(self._record(group, expected_version))
+                self._spawn(self._write_group(group, expected_version))
             case PromoteMember():
                 self._spawn(self._promote())
             case FollowMember(member):
@@ -246,12 +246,12 @@
             case AdoptGroup(group):
                 self.update_record(attrs.evolve(self.record, group=group))
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _ask_votes(self, primary: str) -> None:
+    async def _collect_votes(self, primary: str) -> None:
         messages = self.messages
         votes: dict[str, bool] = {}
         try:
@@ -265,7 +265,7 @@
     async def _read_group(self) -> None:
         messages = self.messages
         try:
-            async with asyncio.timeout(ANSWER_TIMEOUT_MS / 1000):
+            async with asyncio.timeout(PLATFORM_TIMEOUT_MS / 1000):
                 record = await self.store.read(self.database)
         except (StoreUnavailableError, TimeoutError):
             messages.put_nowait(PlatformDidNotRespond())
@@ -273,11 +273,11 @@
         self.update_record(record)
         messages.put_nowait(GroupRead(record.group))
 
-    async def _record(self, group: Group, expected_version: int) -> None:
+    async def _write_group(self, group: Group, expected_version: int) -> None:
         messages = self.messages
         record = attrs.evolve(self.record, group=group)
         try:
-            async with asyncio.timeout(ANSWER_TIMEOUT_MS / 1000):
+            async with asyncio.timeout(PLATFORM_TIMEOUT_MS / 1000):
                 version = await self.store.write(record, expected_version)
         except StoreConflictError:
             messages.put_nowait(RecordConflicted())
@@ -328,32 +328,35 @@
 
     def _repair(self, now_ms: float) -> None:
         group = self.record.group
-        for status in self._recent_statuses(now_ms):
+        for status in self._list_recent_statuses(now_ms):
             if status.member not in self.record.endpoints:
                 continue
             if status.term > group.term:
-                self._refresh(now_ms)
-            elif _needs_repair(status, group) and self._is_due(status.member, now_ms):
+                self._refresh_record(now_ms)
+            elif _needs_repair(status, group) and self._claim_repair(
+                status.member, now_ms
+            ):
                 is_primary = status.member == group.primary
                 self._spawn(
                     self._promote() if is_primary else self._follow(status.member)
                 )
 
-    def _is_due(self, member: str, now_ms: float) -> bool:
+    def _claim_repair(self, member: str, now_ms: float) -> bool:
+        """Return whether a repair is due, and record its time if so."""
         if now_ms - self.repaired_ms.get(member, -PAUSE_MS) < PAUSE_MS:
             return False
         self.repaired_ms[member] = now_ms
         return True
 
-    def _refresh(self, now_ms: float) -> None:
-        if now_ms - self.read_ms >= PAUSE_MS:
-            self.read_ms = now_ms
+    def _refresh_record(self, now_ms: float) -> None:
+        if now_ms - self.record_read_ms >= PAUSE_MS:
+            self.record_read_ms = now_ms
             self._spawn(self._read_group())
 
 
 def _needs_repair(status: MemberStatus, group: Group) -> bool:
     if status.fenced_term > group.term:
-        # Waits for a promotion; `FencingWatch` decides when to complete it.
+        # The member waits for a promotion; `FencingWatch` decides when to complete it.
         return False
     if status.term < group.term:
         return True
@@ -373,7 +376,7 @@
     Parameters
     ----------
     context : PromoterContext
-        This node's place among the voters.
+        This node's rank, the voters and the leaving members.
     record : GroupRecord
         The latest known record.
     monitor : Monitor
@@ -383,8 +386,8 @@
     commands : MemberCommands
         Sends commands to members.
     request_votes : callable
-        Takes database and member; returns, for each voter that answered, whether the
-        member is unreachable for it.
+        Takes database and member; returns, for each voter that responded, whether the
+        member is unreachable from it.
 
     Returns
     -------
--- a/src/radishtrack/proxy/promoter_context.py
+++ b/src/radishtrack/proxy/promoter_context.py
@@ -1,4 +1,4 @@
-"""What a promoter asks its surroundings: placement, voters and leaving members."""
+"""Context of a promoter: its rank, the voters and the leaving members."""
 
 from __future__ import annotations
 
@@ -7,24 +7,25 @@
 import attrs
 
 RequestVotes = Callable[[str, str], Awaitable[Mapping[str, bool]]]
-"""Takes database and member; returns, for each voter that answered, whether the member
-is unreachable for it."""
+"""Takes database and member; returns, for each voter that responded, whether the member
+is unreachable from it."""
 
 
 @attrs.define(frozen=True)
 class PromoterContext:
-    """Place of a node among the voters of a database.
+    """A node's view of the voters and members of a database.
 
     Parameters
     ----------
     node : str
         Name of the node.
     rank : callable
-        Returns the node's place in the placement order; 0 starts first.
+        Returns the node's position in the placement order; rank 0 starts a promotion
+        first.
     voters : callable
         Returns the names of all voters.
     leaving : callable
-        Returns the members that are being taken out of service.
+        Returns the members that are to be taken out of service.
     """
 
     node: str
--- a/src/radishtrack/proxy/slots.py
+++ b/src/radishtrack/proxy/slots.py
@@ -82,7 +82,7 @@
         if promoter is not None:
             promoter.update_record(record)
 
-    def is_behind(self, database: str) -> bool:
+    def is_record_outdated(self, database: str) -> bool:
         """Tell whether a member belongs to a later term than the known record."""
         backend = self.holder.databases.get(database)
         return backend is not None and backend.is_replaced(backend.group)
--- a/src/radishtrack/proxy/switchover.py
+++ b/src/radishtrack/proxy/switchover.py
@@ -1,4 +1,4 @@
-"""Prepares the planned change of a primary that is marked as leaving."""
+"""Prepares the planned replacement of a primary that is marked as leaving."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 from radishtrack.proxy.promoter_context import PromoterContext
 
 PAUSE_MS: Final = 30_000.0
-"""Time between two attempts to relieve a leaving primary: each stops its commits."""
+"""Time between two attempts to replace a leaving primary: each stops its commits."""
 
-CATCH_UP_MS: Final = 2_000.0
-CATCH_UP_STEP_MS: Final = 10.0
+CATCH_UP_TIMEOUT_MS: Final = 2_000.0
+CATCH_UP_CHECK_MS: Final = 10.0
 
 
 @attrs.define
 class Switchover:
-    """Fences a leaving primary and waits for a replica to have all of its log.
+    """Fences a leaving primary and waits until a replica has its whole log.
 
     Parameters
     ----------
     context : PromoterContext
-        This node's place among the voters.
+        This node's rank and the leaving members.
     monitor : Monitor
         Status of the members.
     commands : MemberCommands
@@ -46,10 +46,14 @@
     not_before_ms: float = 0.0
 
     async def prepare(self, record: GroupRecord, statuses: list[MemberStatus]) -> bool:
-        """Return whether the primary was fenced, so that a promotion must follow.
+        """Fence a leaving primary, if any, and wait for a replica to catch up.
 
-        Without a replica that caught up in time, the promotion elects the primary
-        again.
+        If no replica caught up in time, the promotion elects the primary again.
+
+        Returns
+        -------
+        bool
+            Whether the primary was fenced, so that a promotion must follow.
         """
         clock, group = self.monitor.clock, record.group
         leaving = self.context.leaving()
@@ -66,9 +70,9 @@
             fenced = await self.commands.fence(group.primary, record, group.term + 1)
         except (RefusedError, UnreachableError):
             return False
-        end_ms = clock.now_ms() + CATCH_UP_MS
-        while clock.now_ms() < end_ms and not has_caught_up(
+        deadline_ms = clock.now_ms() + CATCH_UP_TIMEOUT_MS
+        while clock.now_ms() < deadline_ms and not has_caught_up(
             fenced, group, self.monitor.latest.values(), leaving
         ):
-            await asyncio.sleep(CATCH_UP_STEP_MS / 1000)
+            await asyncio.sleep(CATCH_UP_CHECK_MS / 1000)
         return True
--- a/src/radishtrack/proxy/votes.py
+++ b/src/radishtrack/proxy/votes.py
@@ -1,4 +1,4 @@
-"""Asks voters whether a member is unreachable, and answers such questions."""
+"""Requests votes on whether a member is unreachable, and casts this node's votes."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from radishtrack.settings import DatabaseLogin
 
 PROBE_TIMEOUT_S: Final = 0.4
-RECORD_STEP_S: Final = 0.25
-RECENT_ANSWER_MS: Final = 300.0
+RECORD_CHECK_S: Final = 0.25
+RECENT_RESPONSE_MS: Final = 300.0
 
 
 @attrs.define
@@ -30,7 +30,7 @@
     Parameters
     ----------
     clock : Clock
-        Dates answers of members.
+        Time since the last responses of members.
     login : DatabaseLogin
         The proxy's own login at the members.
     router : Router
@@ -46,29 +46,45 @@
     numbers: itertools.count[int] = attrs.field(
         factory=lambda: itertools.count(-1, step=-1)
     )
-    """Negative, so that they never equal the number of a statement on a link."""
+    """Negative, so that none equals the number of a statement on a link."""
 
     async def request(
         self, voters: tuple[str, ...], database: str, member: str
     ) -> dict[str, bool]:
-        """Ask the other voters; those that do not answer are left out."""
+        """Return the votes of the other voters that responded.
+
+        Parameters
+        ----------
+        voters : tuple of str
+            All voters of the database.
+        database, member : str
+            The database, and the member whose reachability is in question.
+
+        Returns
+        -------
+        dict of str to bool
+            Whether the member is unreachable, by voter.
+        """
         others = [name for name in voters if name != self.router.node.id]
-        answers = await asyncio.gather(
-            *(self._ask(name, database, member) for name in others)
+        votes = await asyncio.gather(
+            *(self._request_vote(name, database, member) for name in others)
         )
         return {
-            name: answer
-            for name, answer in zip(others, answers, strict=True)
-            if answer is not None
+            name: is_unreachable
+            for name, is_unreachable in zip(others, votes, strict=True)
+            if is_unreachable is not None
         }
 
-    async def answer(self, request: VoteRequest) -> Vote:
-        """Tell whether this node can't reach a member, by a poll that starts now."""
+    async def handle_vote_request(self, request: VoteRequest) -> Vote:
+        """Return whether a member is unreachable from this node.
+
+        The member is probed, unless it has just responded.
+        """
         is_reachable = await self._probe(request.database, request.member)
         return Vote(request.request, not is_reachable)
 
-    def answer_record(self, request: RecordRequest) -> Record:
-        """Return this node's record of a group."""
+    def handle_record_request(self, request: RecordRequest) -> Record:
+        """Return this node's record of a group; version 0 if it has none."""
         record = self.slots.records.get(request.database)
         if record is None:
             return Record(request.request, 0, b"")
@@ -76,56 +92,56 @@
         return Record(request.request, record.group.version, value)
 
     async def follow_terms(self) -> None:
-        """Ask the voters for the record of a group that members have left behind.
+        """Fetch a group's record from the voters while members have a later term.
 
-        A holder that is cut off from the platform would otherwise go on sending writes
-        to a replaced primary, each of which ends with an unknown outcome.
+        A holder that can't reach the platform would otherwise keep sending writes to a
+        replaced primary, each of which ends with an unknown outcome.
         """
         while True:
             for database in tuple(self.slots.holder.databases):
-                if self.slots.is_behind(database):
+                if self.slots.is_record_outdated(database):
                     await self._fetch_record(database)
-            await asyncio.sleep(RECORD_STEP_S)
+            await asyncio.sleep(RECORD_CHECK_S)
 
     async def _fetch_record(self, database: str) -> None:
         names = self.slots.list_voters(database)
         others = [name for name in names if name != self.router.node.id]
-        await asyncio.gather(*(self._ask_record(name, database) for name in others))
+        await asyncio.gather(*(self._request_record(name, database) for name in others))
 
-    async def _ask_record(self, name: str, database: str) -> None:
+    async def _request_record(self, name: str, database: str) -> None:
         number = next(self.numbers)
         try:
             link = await self.router.get_link(name)
-            answer = await link.call(
+            response = await link.call(
                 RecordRequest(number, database), number, 2 * PROBE_TIMEOUT_S
             )
         except LinkClosed:
             return
-        if isinstance(answer, Record) and answer.version:
-            value = cbor2.loads(answer.value)
-            self.slots.update_record(parse_record(database, answer.version, value))
+        if isinstance(response, Record) and response.version:
+            value = cbor2.loads(response.value)
+            self.slots.update_record(parse_record(database, response.version, value))
 
-    async def _ask(self, name: str, database: str, member: str) -> bool | None:
+    async def _request_vote(self, name: str, database: str, member: str) -> bool | None:
         number = next(self.numbers)
         try:
             async with asyncio.timeout(PROBE_TIMEOUT_S):
                 link = await self.router.get_link(name)
-            answer = await link.call(
+            response = await link.call(
                 VoteRequest(number, database, member), number, 2 * PROBE_TIMEOUT_S
             )
         except (LinkClosed, TimeoutError):
             return None
-        return answer.unreachable if isinstance(answer, Vote) else None
+        return response.unreachable if isinstance(response, Vote) else None
 
     async def _probe(self, database: str, member: str) -> bool:
         backend = self.slots.holder.databases.get(database)
         if backend is not None and member in backend.monitor.latest:
             age_ms = self.clock.now_ms() - backend.monitor.answered_ms(member)
-            if age_ms <= RECENT_ANSWER_MS:
+            if age_ms <= RECENT_RESPONSE_MS:
                 return True
         record = self.slots.records.get(database)
         if record is None or member not in record.endpoints:
-            # An unknown member can't be judged; the vote must not count against it.
+            # This node can't probe an unknown member, so must not vote against it.
             return True
         connect = make_connect(self.login.password)
         try:
