--- a/src/radishtrack/proxy/allocators.py
+++ b/src/radishtrack/proxy/allocators.py
@@ -1,4 +1,4 @@
-"""The allocators of organisations' rates that are placed on this node."""
+"""The allocators that are placed on this node, each of one organisation's rate."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
 
 ALLOCATORS_KIND: Final = "allocators"
 IDLE_MS: Final = 60_000.0
-"""An allocator or share that was not used for this long is given up."""
+"""An allocator or share that was unused for this time is dropped."""
 
 LEASE_READ_MS: Final = 250.0
-"""Time between reads of a lease that another allocator holds."""
+"""Time between reads of a lease that another node holds."""
 
 PLAN_INTERVAL_MS: Final = 1_000.0
-"""Time between two writes of a lease record that only plan standing shares."""
+"""Time between two writes of a lease record that only add standing shares."""
 
 
 @attrs.define
 class PlacedAllocator:
-    """An allocator of this node and its reads and writes of the lease."""
+    """An allocator on this node, with the times and state of its maintenance."""
 
     state: Allocator
     used_ms: float
@@ -47,7 +47,7 @@
 
 @attrs.define
 class Allocators:
-    """Grants tokens, and keeps the leases that permit it.
+    """Grants tokens, and maintains the leases that this requires.
 
     Parameters
     ----------
@@ -56,11 +56,11 @@
     identity : str
         Name of this process, unique for each start.
     clock : Clock
-        Time of all decisions.
+        Clock of all decisions.
     placement : Placement
-        Which node is an organisation's allocator.
+        Determines the node of each allocator.
     platform : PlatformClient
-        Holds the lease records.
+        Stores the lease records.
     """
 
     node: str
@@ -73,7 +73,7 @@
     placed: dict[str, PlacedAllocator] = attrs.field(factory=dict)
 
     def update_document(self, document: Document) -> None:
-        """Apply the limits of a configuration."""
+        """Apply the limits of a configuration; drop allocators without one."""
         self.document = document
         now_ms = self.clock.now_ms()
         for name, placed in tuple(self.placed.items()):
@@ -87,11 +87,15 @@
         """Return the configured limit of an organisation, or None if it is unknown."""
         if self.document is None:
             return None
-        found = self.document.organisations.get(organisation)
-        return None if found is None else make_rate_limit(found.rate, found.burst)
+        configured = self.document.organisations.get(organisation)
+        return (
+            None
+            if configured is None
+            else make_rate_limit(configured.rate, configured.burst)
+        )
 
-    def find_place(self, organisation: str) -> str:
-        """Return the node where an organisation's allocator belongs."""
+    def find_allocator_node(self, organisation: str) -> str:
+        """Return the node where an organisation's allocator is placed."""
         if self.document is None:
             return ""
         owner = self.document.organisations[organisation].owner
@@ -101,37 +105,37 @@
             if database.owner == owner
         )
         region = regions[0] if regions else self.region
-        places = self.placement.place_slots(f"allocator/{organisation}", region, 1)
-        return places[0] if places else ""
+        nodes = self.placement.place_slots(f"allocator/{organisation}", region, 1)
+        return nodes[0] if nodes else ""
 
     def find_lease_node(self, organisation: str) -> str:
-        """Return the node that holds the lease, as far as this node knows."""
+        """Return the last known holder of the lease; empty if none."""
         placed = self.placed.get(organisation)
         record = placed.state.lease.record if placed else None
         if record is None or record.released is not None:
             return ""
-        # The record names a process: the node and its incarnation.
+        # The record names a process as "<node>.<incarnation>".
         return record.holder_node.rpartition(".")[0]
 
     def grant(self, request: TokenRequest) -> TokenGrant | None:
-        """Answer a request, or return None without the lease."""
+        """Return the grant for a request, or None if this node lacks the lease."""
         limit = self.find_limit(request.organisation)
         if limit is None:
             return None
         now_ms = self.clock.now_ms()
         placed = self.placed.get(request.organisation)
         if placed is None:
-            if self.find_place(request.organisation) != self.node:
+            if self.find_allocator_node(request.organisation) != self.node:
                 return None
             placed = self.placed[request.organisation] = PlacedAllocator(
                 make_allocator(request.organisation, self.identity, limit), now_ms
             )
         placed.used_ms = now_ms
-        answer = placed.state.on_request(request, now_ms)
-        return answer if isinstance(answer, TokenGrant) else None
+        result = placed.state.on_request(request, now_ms)
+        return result if isinstance(result, TokenGrant) else None
 
     def list_idle(self) -> list[str]:
-        """Return the organisations whose allocator is not being maintained now."""
+        """Return the organisations whose allocator has no maintenance under way."""
         return [name for name, placed in self.placed.items() if not placed.is_busy]
 
     async def maintain(self, name: str) -> None:
@@ -141,14 +145,14 @@
         try:
             await self._maintain_lease(name, placed)
         except (PlatformUnavailable, PlatformRefusal):
-            # The lease goes on until its end; the next step tries again.
+            # The lease stays valid until it expires; the next step tries again.
             return
         finally:
             placed.is_busy = False
 
     async def _maintain_lease(self, name: str, placed: PlacedAllocator) -> None:
         state, now_ms = placed.state, self.clock.now_ms()
-        is_placed = self.find_place(name) == self.node
+        is_placed = self.find_allocator_node(name) == self.node
         if not is_placed or now_ms - placed.used_ms > IDLE_MS:
             write = state.prepare_release(now_ms)
             if write is None:
@@ -176,7 +180,7 @@
 
     async def _write(self, name: str, state: Allocator, write: LeaseWrite) -> None:
         try:
-            answer = await self.platform.put(
+            result = await self.platform.put(
                 ALLOCATORS_KIND,
                 name,
                 encode_lease(write.record),
@@ -184,26 +188,30 @@
             )
         except (PlatformUnavailable, PlatformRefusal):
             return
-        if isinstance(answer, Written):
+        if isinstance(result, Written):
             state.on_lease_written(
-                write.record.revision, answer.version, self.clock.now_ms()
+                write.record.revision, result.version, self.clock.now_ms()
             )
         else:
             await self._read(name, state)
 
     async def fetch(self, name: str) -> tuple[LeaseRecord | None, int]:
-        """Read a lease record and its version from the platform."""
-        found = await self.platform.get(ALLOCATORS_KIND, name)
-        if found is None or found.value is None:
-            return None, 0 if found is None else found.version
+        """Read a lease record and its version from the platform.
+
+        The record is None if there is none or it is invalid; the version is 0 if the
+        object does not exist.
+        """
+        stored = await self.platform.get(ALLOCATORS_KIND, name)
+        if stored is None or stored.value is None:
+            return None, 0 if stored is None else stored.version
         try:
-            return decode_lease(found.value), found.version
+            return decode_lease(stored.value), stored.version
         except LeaseRecordError as error:
             log_event(Event.LEASE_RECORD_INVALID, organisation=name, reason=error)
-            return None, found.version
+            return None, stored.version
 
     async def release_all(self) -> None:
-        """Give all leases up before the process ends."""
+        """Release all leases before the process ends."""
         for name, placed in self.placed.items():
             write = placed.state.prepare_release(self.clock.now_ms())
             if write is not None:
@@ -211,7 +219,7 @@
 
 
 def _needs_plan(state: Allocator, now_ms: float) -> bool:
-    """Tell whether a holder waits for its standing share, which outages need."""
+    """Return whether a holder still lacks its standing share, needed in an outage."""
     record = state.lease.record
     if not state.lease.is_held(now_ms) or record is None:
         return False
--- a/src/radishtrack/proxy/node.py
+++ b/src/radishtrack/proxy/node.py
@@ -267,7 +267,7 @@
             case KeysChanged():
                 self.copies.take_changed(message)
             case TokensWanted():
-                return await self.rates.answer(message)
+                return await self.rates.handle_token_request(message)
             case CopyRequest():
                 return self.copies.answer(message)
             case Leaving(node=node, incarnation=incarnation):
--- a/src/radishtrack/proxy/rates.py
+++ b/src/radishtrack/proxy/rates.py
@@ -1,4 +1,4 @@
-"""Admission of a node: its shares of the organisations' rates."""
+"""Admission of requests by this node's shares of the organisations' rates."""
 
 from __future__ import annotations
 
@@ -56,41 +56,43 @@
 )
 
 STEP_S: Final = 0.05
-MAX_FAILED_ASKS: Final = 10
-"""After this many a holder without a standing share refuses at once, for about a
-second's worth of unanswered requests."""
+MAX_FAILED_REQUESTS: Final = 10
+"""Token requests without response, which take about a second, after which a holder
+without a standing share refuses at once."""
 
 FIRST_RECORD_READ_MS: Final = 1_500.0
-"""Time between reads of the lease record by a holder without a standing share."""
+"""Time between reads of the lease record by a holder without a standing share, that is,
+the fixed share that a node may use without the allocator."""
 
 RECORD_READ_INTERVAL_MS: Final = 120_000.0
 
 
 @attrs.define
 class HeldShare:
-    """An organisation's share at this node, and those who wait for tokens."""
+    """An organisation's share at this node, and the requests that wait for tokens."""
 
     state: ShareState
     used_ms: float
     next_read_ms: float
     waiting: int = 0
-    failed_asks: int = 0
-    """Token requests in a row that no allocator answered."""
-    granted: asyncio.Event = attrs.field(factory=asyncio.Event)
+    failed_requests: int = 0
+    """Consecutive token requests to which no allocator responded."""
+    updated: asyncio.Event = attrs.field(factory=asyncio.Event)
+    """Set for a moment after each response to a token request, or its failure."""
 
 
 @attrs.define
 class Rates:
-    """Admission of this node.
+    """Admits the requests that this node executes as holder.
 
     Parameters
     ----------
     clock : Clock
-        Time of all decisions.
+        Clock of all decisions.
     router : Router
         Connections to the allocators.
     allocators : Allocators
-        The allocators of this node, and where the others are.
+        The allocators on this node, and the nodes of the others.
     """
 
     clock: Clock
@@ -98,13 +100,13 @@
     allocators: Allocators
     shares: dict[str, HeldShare] = attrs.field(factory=dict)
     next_request_ids: dict[str, int] = attrs.field(factory=dict)
-    """Where the numbers of a share that was given up go on: an allocator ignores
-    numbers that it has seen from this process."""
+    """Next request ID by organisation whose share was dropped. The IDs must continue,
+    since an allocator ignores those that it has already received from this process."""
     tasks: set[asyncio.Task[None]] = attrs.field(factory=set)
     numbers: itertools.count[int] = attrs.field(
         factory=lambda: itertools.count(-1_000_000_000, step=-1)
     )
-    """Distinct from the numbers of statements and votes on a link."""
+    """Disjoint from the numbers of statements and votes on a link."""
 
     def update_document(self, document: Document) -> None:
         """Apply the limits of a configuration."""
@@ -122,7 +124,7 @@
     async def admit(
         self, backend: DatabaseBackend, organisation: str, deadline_ms: float
     ) -> None:
-        """Take one token for a request, waiting for it if that can be in time.
+        """Consume one token for a request; wait for one if it can come in time.
 
         Raises
         ------
@@ -130,18 +132,18 @@
             Not run, if the organisation is over its rate or the queue is full.
         """
         if organisation == OPEN_ORGANISATION:
-            # Requests without a key have no rate; the gate's queue bounds them, with a
-            # weight of their own.
+            # Requests without a key have no rate; they are limited by the gate's queue,
+            # in which they have a weight of their own.
             return
         held = self._get_share(organisation)
         is_retry = False
         while True:
             now_ms = self.clock.now_ms()
             held.used_ms = now_ms
-            if _has_no_allowance(held):
-                # Asking goes on, but requests don't wait for it.
-                self._ask_again(held, now_ms)
-                raise RequestError(_make_no_allowance(organisation))
+            if _has_no_tokens(held):
+                # The node keeps requesting tokens, but no client waits for them.
+                self._request_tokens(held, now_ms)
+                raise RequestError(_make_no_tokens(organisation))
             decision = decide_admission(
                 held.state,
                 backend.gate.queue,
@@ -163,45 +165,45 @@
                     await self._wait(held, retry_at_ms)
             is_retry = True
 
-    async def answer(self, message: TokensWanted) -> Tokens:
-        """Answer a holder's request as allocator."""
+    async def handle_token_request(self, message: TokensWanted) -> Tokens:
+        """Return the response of this node's allocator to a holder."""
         try:
             request = decode_request(message.payload)
         except CodecError:
             return Tokens(message.request, b"", "")
-        grant, lease_node = self._grant_here(request)
+        grant, lease_node = self._grant_locally(request)
         return Tokens(message.request, encode_grant(grant), lease_node)
 
     async def run(self) -> None:
-        """Renew leases, return unused tokens and read lease records, forever."""
+        """Renew leases, return unused tokens and read lease records until cancelled."""
         while True:
             now_ms = self.clock.now_ms()
             for name in self.allocators.list_idle():
                 self._spawn(self.allocators.maintain(name))
             for name, held in tuple(self.shares.items()):
-                self._tick_share(name, held, now_ms)
+                self._advance_share(name, held, now_ms)
             await asyncio.sleep(STEP_S)
 
     async def leave(self) -> None:
-        """Give back tokens and leases before the process ends."""
+        """Return tokens and release leases before the process ends."""
         now_ms = self.clock.now_ms()
         for held in self.shares.values():
             await self._send(held, held.state.leave(now_ms))
         await self.allocators.release_all()
 
     async def stop(self) -> None:
-        """Cancel what is under way."""
+        """Cancel all tasks."""
         for task in tuple(self.tasks):
             task.cancel()
         if self.tasks:
             await asyncio.wait(self.tasks)
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.create_task(coroutine)
         self.tasks.add(task)
-        task.add_done_callback(self._forget_task)
+        task.add_done_callback(self._remove_task)
 
-    def _forget_task(self, task: asyncio.Task[None]) -> None:
+    def _remove_task(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             log_event(Event.TASK_FAILED, error=repr(task.exception()))
@@ -227,7 +229,7 @@
         state.next_request_id = self.next_request_ids.pop(organisation, 1)
         return state
 
-    def _ask_again(self, held: HeldShare, now_ms: float) -> None:
+    def _request_tokens(self, held: HeldShare, now_ms: float) -> None:
         decision = held.state.try_admit(now_ms)
         if isinstance(decision, NeedTokens) and decision.request is not None:
             self._spawn(self._send(held, decision.request))
@@ -236,58 +238,58 @@
         held.waiting += 1
         try:
             async with asyncio.timeout((retry_at_ms - self.clock.now_ms()) / 1000):
-                await held.granted.wait()
+                await held.updated.wait()
         except TimeoutError:
             pass
         finally:
             held.waiting -= 1
 
     async def _send(self, held: HeldShare, request: TokenRequest) -> None:
-        grant = await self._ask(request)
+        grant = await self._request_grant(request)
         now_ms = self.clock.now_ms()
         if grant is None:
-            held.failed_asks += 1
+            held.failed_requests += 1
             held.state.on_request_failed(request.request_id, now_ms)
         else:
-            held.failed_asks = 0
+            held.failed_requests = 0
             held.state.on_grant(grant, now_ms)
-        held.granted.set()
-        held.granted.clear()
+        held.updated.set()
+        held.updated.clear()
 
-    async def _ask(self, request: TokenRequest) -> TokenGrant | None:
-        """Ask the node where the allocator is placed, then the lease's present holder.
+    async def _request_grant(self, request: TokenRequest) -> TokenGrant | None:
+        """Try the node where the allocator is placed, then the node with the lease.
 
         They differ for some seconds after a node joined or left.
         """
-        name = self.allocators.find_place(request.organisation)
-        grant, lease_node = await self._ask_at(name, request)
+        name = self.allocators.find_allocator_node(request.organisation)
+        grant, lease_node = await self._request_grant_at(name, request)
         if grant is None and lease_node not in ("", name):
-            grant, _ = await self._ask_at(lease_node, request)
+            grant, _ = await self._request_grant_at(lease_node, request)
         return grant
 
-    def _grant_here(self, request: TokenRequest) -> tuple[TokenGrant | None, str]:
+    def _grant_locally(self, request: TokenRequest) -> tuple[TokenGrant | None, str]:
         grant = self.allocators.grant(request)
         if grant is not None:
             return grant, ""
         return None, self.allocators.find_lease_node(request.organisation)
 
-    async def _ask_at(
+    async def _request_grant_at(
         self, name: str, request: TokenRequest
     ) -> tuple[TokenGrant | None, str]:
         if name == self.router.node.id:
-            return self._grant_here(request)
+            return self._grant_locally(request)
         number = next(self.numbers)
         message = TokensWanted(number, encode_request(request))
         try:
             link = await self.router.get_link(name)
-            answer = await link.call(message, number, REQUEST_TIMEOUT_MS / 1000)
-            if isinstance(answer, Tokens):
-                return decode_grant(answer.payload), answer.lease_node
+            response = await link.call(message, number, REQUEST_TIMEOUT_MS / 1000)
+            if isinstance(response, Tokens):
+                return decode_grant(response.payload), response.lease_node
         except (LinkClosed, CodecError):
             pass
         return None, ""
 
-    def _tick_share(self, name: str, held: HeldShare, now_ms: float) -> None:
+    def _advance_share(self, name: str, held: HeldShare, now_ms: float) -> None:
         if now_ms - held.used_ms > IDLE_MS and not held.waiting:
             del self.shares[name]
             self._spawn(self._send(held, held.state.leave(now_ms)))
@@ -313,21 +315,21 @@
             held.state.on_record(record, sent_ms, self.clock.now_ms())
 
 
-def _has_no_allowance(held: HeldShare) -> bool:
+def _has_no_tokens(held: HeldShare) -> bool:
     return (
-        held.failed_asks >= MAX_FAILED_ASKS
+        held.failed_requests >= MAX_FAILED_REQUESTS
         and held.state.standing.share is None
         and held.state.held_tokens() == 0
     )
 
 
-def _make_no_allowance(organisation: str) -> Failure:
-    # The step makes the entry try another holder, which may have a standing share.
+def _make_no_tokens(organisation: str) -> Failure:
+    # With this step the entry tries another holder, which may have a standing share.
     return Failure(
         NOT_HELD_STEP,
         "",
         Outcome.NOT_RUN,
         ErrorCode.REFUSED,
-        f"no allowance of {organisation} is known here: its allocator does not answer",
+        f"no tokens of {organisation} on this node: its allocator does not respond",
         FAILURE_RETRY_MS,
     )
