--- a/src/radishtrack/proxy/access.py
+++ b/src/radishtrack/proxy/access.py
@@ -1,4 +1,4 @@
-"""Which database, organisation and route a statement belongs to."""
+"""Database, organisation and route of a statement, and the client's access to them."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from radishtrack.proxy.client_state import ClientState
 from radishtrack.routing.statement import Kind, Statement
 
-AFFINITY_RATE: Final = 100.0
-"""Statements a second up to which an organisation prefers one holder."""
+AFFINITY_RATE_PER_S: Final = 100.0
+"""Rate, in statements per second, up to which an organisation prefers one holder."""
 
 
 def find_database(document: Document, state: ClientState) -> Database:
-    """Return the database that a client's statement is for.
+    """Return the database of a client's statement.
 
     Raises
     ------
     RequestError
-        Not run, if none is selected or it is unknown.
+        Not run, if no database is selected or the selected one is unknown.
     """
     name = state.transaction_database if state.holder else state.database
     database = document.databases.get(name)
@@ -35,9 +35,9 @@
 def check_access(
     document: Document, state: ClientState, database: Database, statement: Statement
 ) -> Organisation | None:
-    """Check that a client may use a database.
+    """Check that a client may run a statement on a database.
 
-    An organisation may use the databases of its owner; everybody may read on open
+    An organisation may use the databases of its owner; all clients may read on open
     routes.
 
     Returns
@@ -48,7 +48,7 @@
     Raises
     ------
     RequestError
-        Not run, without access.
+        Not run, if the client has no access or a write has no route.
     """
     organisation = document.organisations.get(state.organisation)
     is_read = statement.kind is Kind.READ
@@ -71,14 +71,14 @@
 
 
 def find_affinity(document: Document, organisation: str) -> str:
-    """Return the text by which an organisation's holder is preferred; empty for none.
+    """Return the key that selects an organisation's preferred holder; empty for none.
 
-    Tokens that one holder has fetched can't be used at another one until they expire.
-    For an organisation with few of them that means refusals within its rate, so all
-    its statements go to one holder while that works.
+    Tokens that one holder has acquired can't be used at another one until they expire.
+    An organisation with few tokens would therefore be refused within its rate, so all
+    its statements go to one holder while this holder accepts them.
     """
-    found = document.organisations.get(organisation)
-    if found is None or found.rate > AFFINITY_RATE:
+    configured = document.organisations.get(organisation)
+    if configured is None or configured.rate > AFFINITY_RATE_PER_S:
         return ""
     return organisation
 
--- a/src/radishtrack/proxy/client_state.py
+++ b/src/radishtrack/proxy/client_state.py
@@ -1,4 +1,4 @@
-"""What the entry keeps for a client, takes from it and answers."""
+"""An entry's state of a client connection, and its requests and replies."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from radishtrack.session.position import Position
 
 OPEN_ORGANISATION: Final = "open"
-"""User name of clients without a key; they only read on open routes."""
+"""User name of clients without a key, which may only read on open routes."""
 
 
 @attrs.define
 class ClientState:
-    """What the entry keeps for one client connection.
+    """State of one client connection at the entry.
 
     Parameters
     ----------
@@ -27,7 +27,7 @@
     organisation : str
         The organisation that the key belongs to.
     key_id : str
-        The key that was presented.
+        The key with which the client logged in.
     """
 
     number: int
@@ -38,11 +38,13 @@
     autocommit: bool = True
     in_transaction: bool = False
     holder: str = ""
-    """The holder of the open transaction, or of one that was lost."""
+    """The holder of the open or lost transaction; empty if none."""
     transaction_database: str = ""
     transaction_lost: bool = False
-    """The way to the holder failed inside a transaction that is not ended yet."""
+    """Whether the holder, or the connection to it, failed in a transaction that the
+    client has not ended yet."""
     token_refused: bool = False
+    """Whether the last session token was invalid."""
     last_insert_id: int = 0
     statement_class: str = ""
     """Label of the running statement in the metrics."""
@@ -50,16 +52,16 @@
 
 @attrs.define(frozen=True)
 class Reply:
-    """Answer to one statement.
+    """Reply to one statement.
 
     Parameters
     ----------
     head : ResultHead or None
-        Columns; None for a statement without a result.
+        Columns; None for a statement without a result set.
     rows : async iterator or None
-        Chunks of rows; raises `RequestError` if the result breaks off.
+        Chunks of rows; raises `RequestError` if the result is incomplete.
     done : Done or None
-        The end of a statement without a result.
+        Final message of a statement without a result set.
     """
 
     head: ResultHead | None = None
@@ -82,7 +84,7 @@
 
 
 def advance_position(state: ClientState, database: str, position: Position) -> None:
-    """Record a position that the session has seen, if it is a later one."""
-    known = state.positions.get(database)
-    if known is None or position > known:
+    """Advance the session's position in a database; an earlier position is ignored."""
+    current = state.positions.get(database)
+    if current is None or position > current:
         state.positions[database] = position
--- a/src/radishtrack/proxy/configuration_feed.py
+++ b/src/radishtrack/proxy/configuration_feed.py
@@ -1,4 +1,4 @@
-"""Fetches configuration revisions from the platform and puts them into force."""
+"""Fetches configuration revisions from the platform and brings them into force."""
 
 from __future__ import annotations
 
@@ -20,42 +20,42 @@
 
 @attrs.define
 class ConfigurationFeed:
-    """Takes manifests from the watch and fetches the chunks that are missing.
+    """Fetches the missing chunks of each manifest that the watch returns.
 
     Parameters
     ----------
     platform : PlatformClient
-        Holds the chunks.
+        Stores the chunks.
     configuration : ConfigurationState
         The configuration in force.
-    when_accepted : callable
-        Called after each manifest that was looked at.
+    on_processed : callable
+        Called after each valid manifest, whether or not its revision was accepted.
     """
 
     platform: PlatformClient
     configuration: ConfigurationState
-    when_accepted: Callable[[], None]
+    on_processed: Callable[[], None]
     changed: asyncio.Event = attrs.field(factory=asyncio.Event)
-    value: object = None
+    manifest_value: object = None
 
-    def offer(self, value: object) -> None:
-        """Take the latest value of the manifest's object."""
-        self.value = value
+    def update_manifest(self, value: object) -> None:
+        """Set the latest value of the manifest object, which `run` then processes."""
+        self.manifest_value = value
         self.changed.set()
 
     async def run(self) -> None:
-        """Accept one manifest after another, forever."""
+        """Process manifests until cancelled."""
         while True:
             await self.changed.wait()
             self.changed.clear()
             try:
-                await self._accept(self.value)
+                await self._process(self.manifest_value)
             except (PlatformUnavailable, PlatformRefusal):
-                # The chunks are needed before the revision can be in force.
+                # A revision can't come into force without its chunks.
                 await asyncio.sleep(CHUNK_RETRY_S)
                 self.changed.set()
 
-    async def _accept(self, value: object) -> None:
+    async def _process(self, value: object) -> None:
         try:
             manifest = decode_manifest(value)
         except ChunkError as error:
@@ -63,8 +63,8 @@
             return
         chunks: dict[str, str] = {}
         for digest in self.configuration.find_missing(manifest):
-            found = await self.platform.get(CHUNK_KIND, digest)
-            if found is not None and found.value is not None:
-                chunks[digest] = decode_chunk(found.value)
+            stored = await self.platform.get(CHUNK_KIND, digest)
+            if stored is not None and stored.value is not None:
+                chunks[digest] = decode_chunk(stored.value)
         self.configuration.accept(manifest, chunks)
-        self.when_accepted()
+        self.on_processed()
--- a/src/radishtrack/proxy/copies.py
+++ b/src/radishtrack/proxy/copies.py
@@ -24,32 +24,32 @@
 from radishtrack.settings import Address
 
 STEP_S: Final = 0.5
-CUT_OFF_MS: Final = 3_500.0
-"""Longer than a quiet watch of the platform waits for a change."""
+UNREACHABLE_AFTER_MS: Final = 3_500.0
+"""Longer than a watch of the platform waits for a change."""
 
-ASK_INTERVAL_MS: Final = 1_000.0
+REQUEST_INTERVAL_MS: Final = 1_000.0
 INTERVAL_PER_PEER_MS: Final = 34.0
-"""Keeps the traffic of an outage with 590 peers under 2 KB a second."""
+"""Keeps the traffic below 2 KB/s in an outage with 590 peers."""
 
-ANSWER_TIMEOUT_S: Final = 1.0
+RESPONSE_TIMEOUT_S: Final = 1.0
 NEVER_MS: Final = 1e12
 """Age that stands for "never" in a message: nodes can't compare an infinite one."""
 
 
 @attrs.define
 class Copies:
-    """Asks peers for their copies, and answers them.
+    """Requests copies from peers, and returns this node's copies to them.
 
     Parameters
     ----------
     clock : Clock
-        Dates contacts.
+        Clock of contacts.
     secret : str
         Authenticates copies.
     keyring, configuration : Keyring, ConfigurationState
-        What is copied.
+        Source and destination of the copies.
     contacts : ContactState
-        Who was heard of when.
+        Last contacts with the platform and the peers.
     membership : Membership
         The other nodes.
     router : Router
@@ -57,11 +57,13 @@
     slots : Slots
         The group records.
     platform : PlatformClient
-        Dates this node's own contact with the platform.
+        Client of the platform.
     seeds : tuple of Address
         Peers from the settings, for a start while the platform is down.
-    when_revoked : callable
-        Takes a key that a copy revoked.
+    on_revoked : callable
+        Takes each key that a copy revokes.
+    on_configured : callable
+        Called after a copy has brought a newer configuration.
     """
 
     clock: Clock
@@ -74,16 +76,19 @@
     slots: Slots
     platform: PlatformClient
     seeds: tuple[Address, ...]
-    when_revoked: Callable[[RevokedKey], None]
-    when_configured: Callable[[], None]
-    asked_ms: float = 0.0
+    on_revoked: Callable[[RevokedKey], None]
+    on_configured: Callable[[], None]
+    requested_ms: float = 0.0
     numbers: itertools.count[int] = attrs.field(
         factory=lambda: itertools.count(-2_000_000_000, step=-1)
     )
-    """Distinct from the numbers of all other messages on a link."""
+    """Disjoint from the numbers of all other messages on a link."""
 
-    def answer(self, request: CopyRequest) -> Copy:
-        """Return this node's copies for a peer."""
+    def handle_copy_request(self, request: CopyRequest) -> Copy:
+        """Return this node's copies for a peer.
+
+        Group records and nodes are included for a peer without a configuration.
+        """
         age_ms = self.clock.now_ms() - self.contacts.platform_contact_ms
         objects = [
             seal_keys(
@@ -102,7 +107,7 @@
         return Copy(request.request, min(age_ms, NEVER_MS), tuple(objects))
 
     async def announce_revoked(self, organisations: frozenset[str]) -> None:
-        """Tell connected peers about revoked keys, in case they can't learn it."""
+        """Send the keys to connected peers, which may not reach the platform."""
         changed = make_keyring()
         changed.organisations = {
             name: keys
@@ -116,97 +121,100 @@
             except LinkClosed:
                 continue
 
-    def take_changed(self, message: KeysChanged) -> None:
-        """Apply a peer's word on changed keys; it does not date the other keys."""
+    def apply_changed_keys(self, message: KeysChanged) -> None:
+        """Apply keys that a peer reports as changed; they don't confirm the others."""
         copy = open_keys(message.objects, self.secret)
         if copy is not None:
             for revoked in apply_copy(self.keyring, copy):
-                self.when_revoked(revoked)
+                self.on_revoked(revoked)
 
     async def run(self) -> None:
-        """Ask all peers from time to time while the platform does not answer."""
+        """Request copies from all peers while the platform is unreachable."""
         while True:
             now_ms = self.clock.now_ms()
             nodes = self.membership.list_nodes(now_ms)
             others = frozenset(node.id for node in nodes) - {self.router.node.id}
-            # Only the own region is counted: regions lose each other for an hour, and
-            # the smaller one would otherwise stop. Words from elsewhere still help.
+            # Only peers of this region count towards the majority: a partition between
+            # regions can last an hour, in which the smaller one would otherwise refuse
+            # all requests. Copies from other regions are still used.
             region = self.router.node.region
-            own = frozenset(node.id for node in nodes if node.region == region)
+            same_region = frozenset(node.id for node in nodes if node.region == region)
             self.contacts.set_peers(
-                others | self._known_seeds(), own - {self.router.node.id}
+                others | self._list_linked(), same_region - {self.router.node.id}
             )
-            interval_ms = max(ASK_INTERVAL_MS, INTERVAL_PER_PEER_MS * len(others))
-            is_due = now_ms - self.asked_ms >= interval_ms
-            if is_due and self.contacts.is_platform_unreachable(now_ms, CUT_OFF_MS):
-                self.asked_ms = now_ms
+            interval_ms = max(REQUEST_INTERVAL_MS, INTERVAL_PER_PEER_MS * len(others))
+            is_due = now_ms - self.requested_ms >= interval_ms
+            if is_due and self.contacts.is_platform_unreachable(
+                now_ms, UNREACHABLE_AFTER_MS
+            ):
+                self.requested_ms = now_ms
                 await asyncio.gather(
-                    *(self._ask(name) for name in others),
-                    *(self._ask_seed(seed) for seed in self._unlisted_seeds()),
+                    *(self._request_copy(name) for name in others),
+                    *(self._request_seed(seed) for seed in self._list_unlisted_seeds()),
                 )
             await asyncio.sleep(STEP_S)
 
-    def _known_seeds(self) -> frozenset[str]:
-        # Nodes reached by a seed address count as peers before the list names them.
+    def _list_linked(self) -> frozenset[str]:
+        # Nodes reached by a seed address are peers before the platform's list has them.
         return frozenset(self.router.links) - {self.router.node.id}
 
-    def _unlisted_seeds(self) -> tuple[Address, ...]:
+    def _list_unlisted_seeds(self) -> tuple[Address, ...]:
         nodes = self.membership.list_nodes(self.clock.now_ms())
         listed = {node.peer_address for node in nodes}
         return tuple(seed for seed in self.seeds if str(seed) not in listed)
 
-    async def _ask(self, name: str) -> None:
+    async def _request_copy(self, name: str) -> None:
         try:
             link = await self.router.get_link(name)
         except LinkClosed:
             return
-        await self._ask_link(link)
+        await self._request_over_link(link)
 
-    async def _ask_seed(self, seed: Address) -> None:
+    async def _request_seed(self, seed: Address) -> None:
         try:
             link = await self.router.open_link(str(seed))
         except LinkClosed:
             return
-        known = self.router.links.get(link.node)
-        if known is None or known.closed:
+        current = self.router.links.get(link.node)
+        if current is None or current.closed:
             self.router.links[link.node] = link
-        await self._ask_link(link)
+        await self._request_over_link(link)
 
-    async def _ask_link(self, link: PeerLink) -> None:
+    async def _request_over_link(self, link: PeerLink) -> None:
         number = next(self.numbers)
         request = CopyRequest(
             number, compute_digest(self.keyring), self.configuration.revision
         )
-        asked_ms = self.clock.now_ms()
+        sent_ms = self.clock.now_ms()
         try:
-            answer = await link.call(request, number, ANSWER_TIMEOUT_S)
+            response = await link.call(request, number, RESPONSE_TIMEOUT_S)
         except LinkClosed:
             return
-        if isinstance(answer, Copy):
-            self._take(link.node, answer, asked_ms)
+        if isinstance(response, Copy):
+            self._apply_response(link.node, response, sent_ms)
 
-    def _take(self, peer: str, answer: Copy, asked_ms: float) -> None:
-        if not answer.objects:
+    def _apply_response(self, peer: str, response: Copy, sent_ms: float) -> None:
+        if not response.objects:
             return
-        copy = open_keys(answer.objects[0], self.secret)
+        copy = open_keys(response.objects[0], self.secret)
         if copy is None:
             return
         for revoked in apply_copy(self.keyring, copy):
-            self.when_revoked(revoked)
+            self.on_revoked(revoked)
         self.contacts.record_peer_contact(
             peer,
-            asked_ms,
-            is_platform_down=answer.contact_age_ms > CUT_OFF_MS,
+            sent_ms,
+            is_platform_down=response.contact_age_ms > UNREACHABLE_AFTER_MS,
             copy_age_ms=copy.age_ms,
         )
-        before = self.configuration.revision
-        if before == 0 and len(answer.objects) > 1:
-            self._take_fleet(answer.objects[-1])
-        self.configuration.accept_copies(answer.objects[1:2], self.secret)
-        if self.configuration.revision > before:
-            self.when_configured()
-
-    def _take_fleet(self, data: bytes) -> None:
+        old_revision = self.configuration.revision
+        if old_revision == 0 and len(response.objects) > 1:
+            self._apply_fleet(response.objects[-1])
+        self.configuration.accept_copies(response.objects[1:2], self.secret)
+        if self.configuration.revision > old_revision:
+            self.on_configured()
+
+    def _apply_fleet(self, data: bytes) -> None:
         fleet = open_fleet(data, self.secret)
         if fleet is None:
             return
--- a/src/radishtrack/proxy/entry.py
+++ b/src/radishtrack/proxy/entry.py
@@ -41,8 +41,8 @@
 )
 from radishtrack.proxy.labels import (
     READ_CLASSES,
-    find_label,
     find_refusal_reason,
+    find_statement_label,
 )
 from radishtrack.proxy.router import Router
 from radishtrack.routing.options import ReadClass, RequestOptions, split_options
@@ -297,7 +297,7 @@
             raise make_not_run(
                 "classify", "the statement depends on earlier ones; use a transaction"
             )
-        state.statement_class = find_label(statement, effective, state)
+        state.statement_class = find_statement_label(statement, effective, state)
         if state.holder == "":
             state.transaction_database = database.name
         return Execute(
--- a/src/radishtrack/proxy/fleet_copy.py
+++ b/src/radishtrack/proxy/fleet_copy.py
@@ -1,7 +1,7 @@
 """Copies of group records and of the list of nodes, for a node that starts.
 
-While the platform is down a starting node learns from its peers where the databases
-are and who their holders are. What it learns is replaced by the platform's word later.
+While the platform is down, a starting node learns the endpoints and holders of
+databases from its peers. The platform's records replace these copies later.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 @attrs.define(frozen=True)
 class FleetCopy:
-    """What a peer knows of databases and nodes."""
+    """A peer's group records and nodes."""
 
     records: tuple[GroupRecord, ...]
     nodes: tuple[Node, ...]
@@ -34,7 +34,7 @@
 def seal_fleet(
     records: Iterable[GroupRecord], nodes: Iterable[Node], secret: str
 ) -> bytes:
-    """Return an authenticated copy for a peer that starts."""
+    """Return an authenticated copy for a starting peer."""
     value = {
         "groups": [
             [record.group.database, record.group.version, format_record(record)]
@@ -46,14 +46,14 @@
 
 
 def open_fleet(data: bytes, secret: str) -> FleetCopy | None:
-    """Return a peer's copy, or None if it is not authentic or not readable."""
+    """Return a peer's copy, or None if it is not authentic or can't be decoded."""
     value = open_copy(COPY_KIND, data, secret)
     if value is None:
         return None
     try:
         records = tuple(
-            parse_record(str(database), int(version), content)
-            for database, version, content in value["groups"]
+            parse_record(str(database), int(version), encoded)
+            for database, version, encoded in value["groups"]
         )
         nodes = tuple(Node(**fields) for fields in value["nodes"])
     except (KeyError, TypeError, ValueError, RecordError):
--- a/src/radishtrack/proxy/group_store.py
+++ b/src/radishtrack/proxy/group_store.py
@@ -1,4 +1,4 @@
-"""The group's record in the platform, as a promoter uses it."""
+"""A promoter's access to the group record in the platform."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 
 class StoreUnavailableError(Exception):
-    """Raised when a call to the platform has no known result."""
+    """Raised when the result of a call to the platform is unknown."""
 
 
 class StoreConflictError(Exception):
-    """Raised when the record had another version than expected."""
+    """Raised when the record does not have the expected version."""
 
 
 @attrs.define(frozen=True)
@@ -49,27 +49,27 @@
 
 
 def make_group_store(client: PlatformClient) -> GroupStore:
-    """Return the access of promotions to the platform.
+    """Return the group store of promotions.
 
     Parameters
     ----------
     client : PlatformClient
-        Client of the platform; promotions use its highest priority.
+        Client of the platform; its highest priority is used.
     """
 
     async def read(database: str) -> GroupRecord:
         try:
-            found = await client.get(KIND, database, priority=Priority.PROMOTION)
-            if found is None or found.value is None:
+            stored = await client.get(KIND, database, priority=Priority.PROMOTION)
+            if stored is None or stored.value is None:
                 raise StoreUnavailableError(f"groups/{database} does not exist")
-            return parse_record(database, found.version, found.value)
+            return parse_record(database, stored.version, stored.value)
         except (PlatformUnavailable, PlatformRefusal, RecordError) as error:
             raise StoreUnavailableError(str(error)) from error
 
     async def write(record: GroupRecord, expected_version: int) -> int:
         group = record.group
         try:
-            answer = await client.put_resolving(
+            result = await client.put_resolving(
                 KIND,
                 group.database,
                 format_record(record),
@@ -79,8 +79,11 @@
             )
         except (PlatformUnavailable, PlatformRefusal) as error:
             raise StoreUnavailableError(str(error)) from error
-        if isinstance(answer, Conflict):
-            raise StoreConflictError(f"version is {answer.version}")
-        return answer.version
+        if isinstance(result, Conflict):
+            raise StoreConflictError(
+                f"groups/{group.database} has version {result.version}, "
+                f"not {expected_version}"
+            )
+        return result.version
 
     return GroupStore(read, write)
--- a/src/radishtrack/proxy/labels.py
+++ b/src/radishtrack/proxy/labels.py
@@ -25,10 +25,10 @@
 }
 
 
-def find_label(
+def find_statement_label(
     statement: Statement, effective: EffectiveClass, state: ClientState
 ) -> str:
-    """Return the class under which a statement is measured."""
+    """Return the label of a statement in the metrics."""
     if state.in_transaction or statement.kind in (Kind.BEGIN, Kind.COMMIT):
         return "transaction"
     if statement.kind is Kind.READ:
@@ -37,7 +37,7 @@
 
 
 def find_refusal_reason(failure: Failure) -> str:
-    """Return the label under which a refused request is counted."""
+    """Return the label of a refused request in the metrics."""
     if failure.code == ErrorCode.OVER_RATE:
         return "rate"
     return REFUSAL_REASONS.get(failure.step, "member")
--- a/src/radishtrack/proxy/node.py
+++ b/src/radishtrack/proxy/node.py
@@ -265,11 +265,11 @@
             case RecordRequest():
                 return self.votes.handle_record_request(message)
             case KeysChanged():
-                self.copies.take_changed(message)
+                self.copies.apply_changed_keys(message)
             case TokensWanted():
                 return await self.rates.handle_token_request(message)
             case CopyRequest():
-                return self.copies.answer(message)
+                return self.copies.handle_copy_request(message)
             case Leaving(node=node, incarnation=incarnation):
                 now_ms = self.clock.now_ms()
                 self.membership.record_leaving(node, incarnation, now_ms)
@@ -307,9 +307,9 @@
             elif found.kind == MEMBERS_KIND:
                 leaving = (found.value or {}).get("leaving")
                 members = leaving if isinstance(leaving, list) else []
-                self.slots.mark_leaving(found.name, frozenset(map(str, members)))
+                self.slots.set_leaving_members(found.name, frozenset(map(str, members)))
             elif found.name == MANIFEST_NAME and found.value is not None:
-                self.feed.offer(found.value)
+                self.feed.update_manifest(found.value)
         if revoked:
             work = self.copies.announce_revoked(frozenset(revoked))
             task = asyncio.create_task(work)
--- a/src/radishtrack/proxy/slots.py
+++ b/src/radishtrack/proxy/slots.py
@@ -1,4 +1,4 @@
-"""Opens and closes databases as slots and group records change."""
+"""Opens and closes databases when slots or group records change."""
 
 from __future__ import annotations
 
@@ -31,20 +31,20 @@
 
 @attrs.define
 class Slots:
-    """Keeps a holder's databases equal to the slots that placement gives it.
+    """Keeps a holder's open databases equal to the slots placed on its node.
 
     Parameters
     ----------
     node : Node
         This node.
     clock : Clock
-        Time for the databases' parts.
+        Clock of the databases' components.
     login : DatabaseLogin
         The proxy's own login at the members.
     holder : Holder
-        Whose databases are opened and closed.
+        The holder whose databases are opened and closed.
     placement : Placement
-        Who holds which slots.
+        Determines the nodes of each slot.
     observe_wait : callable
         Takes organisation and the wait for a connection, in milliseconds.
     records : dict of str to GroupRecord
@@ -58,20 +58,20 @@
     placement: Placement
     observe_wait: ObserveWait
     make_promoter: MakePromoter | None = None
-    """Set once the node's parts exist; without it nothing is promoted from here."""
+    """Set once the node's components exist; without it this node promotes no member."""
     promoters: dict[str, Promoter] = attrs.field(factory=dict)
     records: dict[str, GroupRecord] = attrs.field(factory=dict)
-    known: dict[str, Database] = attrs.field(factory=dict)
-    """The databases held here, as configured."""
-    marked: dict[str, frozenset[str]] = attrs.field(factory=dict)
+    configured: dict[str, Database] = attrs.field(factory=dict)
+    """Configuration of the databases that this node holds, by name."""
+    leaving_members: dict[str, frozenset[str]] = attrs.field(factory=dict)
     """Members that the platform marks as leaving, by database."""
     closing: set[asyncio.Task[None]] = attrs.field(factory=set)
 
     def update_record(self, record: GroupRecord) -> None:
-        """Take a group record; an older version is ignored."""
+        """Use a group record unless its version is not newer."""
         name = record.group.database
-        known = self.records.get(name)
-        if known is not None and record.group.version <= known.group.version:
+        current = self.records.get(name)
+        if current is not None and record.group.version <= current.group.version:
             return
         self.records[name] = record
         backend = self.holder.databases.get(name)
@@ -83,33 +83,46 @@
             promoter.update_record(record)
 
     def is_record_outdated(self, database: str) -> bool:
-        """Tell whether a member belongs to a later term than the known record."""
+        """Return whether a member is in a later term than the known record."""
         backend = self.holder.databases.get(database)
         return backend is not None and backend.is_replaced(backend.group)
 
     def list_voters(self, database: str) -> tuple[str, ...]:
-        """Return the voters of a database that is held here."""
-        known = self.known.get(database)
-        if known is None:
+        """Return the voters of a database; empty if this node does not hold it."""
+        configured = self.configured.get(database)
+        if configured is None:
             return ()
-        return self.placement.rank_voters(known.name, known.region, known.slots)
+        return self.placement.rank_voters(
+            configured.name, configured.region, configured.slots
+        )
 
-    def mark_leaving(self, database: str, members: frozenset[str]) -> None:
-        """Take the platform's word on members that are leaving."""
-        self.marked[database] = members
+    def set_leaving_members(self, database: str, members: frozenset[str]) -> None:
+        """Set the members that the platform marks as leaving."""
+        self.leaving_members[database] = members
 
     def reconcile(self, document: Document, *, is_leaving: bool = False) -> None:
-        """Open databases whose slot is held here, and close the others."""
-        wanted = {
+        """Open the databases that this node holds and close all others.
+
+        Parameters
+        ----------
+        document : Document
+            The configuration in force.
+        is_leaving : bool
+            Whether the node drains and thus holds none.
+        """
+        held = {
             database.name: database
             for database in document.databases.values()
             if not is_leaving and self._is_held(database)
         }
-        self.known = wanted
-        for name in self.holder.databases.keys() - wanted.keys():
+        self.configured = held
+        for name in self.holder.databases.keys() - held.keys():
             self._close(name)
-        weights = {part.name: part.rate for part in document.organisations.values()}
-        for database in wanted.values():
+        weights = {
+            organisation.name: organisation.rate
+            for organisation in document.organisations.values()
+        }
+        for database in held.values():
             backend = self.holder.databases.get(database.name)
             record = self.records.get(database.name)
             if backend is None and record is not None:
@@ -129,7 +142,9 @@
 
     def _list_leaving(self, database: Database) -> frozenset[str]:
         configured = (member.name for member in database.members if member.leaving)
-        return frozenset(configured) | self.marked.get(database.name, frozenset())
+        return frozenset(configured) | self.leaving_members.get(
+            database.name, frozenset()
+        )
 
     def _is_held(self, database: Database) -> bool:
         if database.region != self.node.region:
@@ -169,23 +184,23 @@
             promoter = self.make_promoter(database, record, monitor)
             promoter.start()
             if promoter.loop_task is not None:
-                promoter.loop_task.add_done_callback(_report_end)
+                promoter.loop_task.add_done_callback(_log_failure)
             self.promoters[database.name] = promoter
         return backend
 
     def _close(self, name: str) -> None:
         backend = self.holder.databases.pop(name)
         promoter = self.promoters.pop(name, None)
-        task = asyncio.create_task(self._finish(backend, promoter))
+        task = asyncio.create_task(self._shut_down(backend, promoter))
         self.closing.add(task)
         task.add_done_callback(self.closing.discard)
 
-    async def _finish(
+    async def _shut_down(
         self, backend: DatabaseBackend, promoter: Promoter | None
     ) -> None:
         if promoter is not None:
             await promoter.stop()
-        # Running requests and transactions keep the database until they end.
+        # Running requests and transactions need monitor and pool until they end.
         while self._is_used(backend):
             await asyncio.sleep(0.1)
         await backend.monitor.stop()
@@ -198,6 +213,6 @@
         )
 
 
-def _report_end(task: asyncio.Task[None]) -> None:
+def _log_failure(task: asyncio.Task[None]) -> None:
     if not task.cancelled() and task.exception() is not None:
         log_event(Event.TASK_FAILED, error=repr(task.exception()))
--- a/src/radishtrack/proxy/tls.py
+++ b/src/radishtrack/proxy/tls.py
@@ -1,4 +1,4 @@
-"""TLS contexts of a node, made from its settings."""
+"""TLS contexts of a node."""
 
 from __future__ import annotations
 
@@ -27,9 +27,14 @@
 def make_peer_client_tls(settings: Settings) -> ssl.SSLContext | None:
     """Return the context for connections to peers.
 
-    The certificate of a peer must be signed by the authority in the settings and name
-    the address by which the peer is reached. Who the peer is, the handshake over the
-    connection proves with the fleet's secret.
+    A peer's certificate must be signed by the authority in the settings and contain the
+    address to which this node connects. The handshake over the connection proves the
+    peer's identity by the peer secret.
+
+    Returns
+    -------
+    ssl.SSLContext or None
+        None if peers don't use TLS.
     """
     if not settings.peers.tls_ca:
         return None
--- a/src/radishtrack/proxy/usage_reports.py
+++ b/src/radishtrack/proxy/usage_reports.py
@@ -18,21 +18,21 @@
 from radishtrack.usage.report import Reporter, decode_report, encode_report
 
 USAGE_KIND: Final = "usage"
-STEP_S: Final = 1.0
+CHECK_INTERVAL_S: Final = 1.0
 
 
 @attrs.define
 class UsageReports:
-    """Reports cumulative usage, so that a lost or repeated write changes nothing.
+    """Reports cumulative usage, so that lost and repeated writes do no harm.
 
     Parameters
     ----------
     clock : Clock
-        Tells when a report is due.
+        Clock of the report interval.
     platform : PlatformClient
         Stores the reports.
     reporter : Reporter
-        Makes the reports.
+        Creates the reports.
     """
 
     clock: Clock
@@ -41,42 +41,42 @@
     versions: dict[str, int] = attrs.field(factory=dict)
 
     async def run(self) -> None:
-        """Write a report whenever one is due, forever."""
+        """Write reports when they are due, until cancelled."""
         while True:
             if self.reporter.is_due(self.clock.now_ms()):
                 await self.write()
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
     async def write(self) -> None:
-        """Write one report; a failed write is made good by the next report."""
+        """Write one report; the next one makes up for a failed write."""
         report = self.reporter.make_report(self.clock.now_ms())
         if not report.totals:
             return
         name = report.object_name
         try:
-            answer = await self.platform.put(
+            result = await self.platform.put(
                 USAGE_KIND,
                 name,
                 encode_report(report),
                 self.versions.get(name, 0),
                 priority=Priority.BACKGROUND,
             )
-            if isinstance(answer, Written):
-                self.versions[name] = answer.version
+            if isinstance(result, Written):
+                self.versions[name] = result.version
             else:
                 await self._resolve_conflict(name)
         except (PlatformUnavailable, PlatformRefusal):
             return
 
     async def _resolve_conflict(self, name: str) -> None:
-        # Either an earlier write took effect and its answer was lost, or the object
-        # was sealed because this process was taken for dead.
-        found = await self.platform.get(USAGE_KIND, name, priority=Priority.BACKGROUND)
-        if found is None or found.value is None:
+        # Either an earlier write took effect and its response was lost, or the object
+        # was sealed because this process was considered dead.
+        stored = await self.platform.get(USAGE_KIND, name, priority=Priority.BACKGROUND)
+        if stored is None or stored.value is None:
             self.versions.pop(name, None)
             return
-        stored = decode_report(dict(found.value))
-        if stored.is_sealed:
-            self.reporter.on_sealed(stored)
+        report = decode_report(dict(stored.value))
+        if report.is_sealed:
+            self.reporter.on_sealed(report)
         else:
-            self.versions[name] = found.version
+            self.versions[name] = stored.version
