--- a/src/radishtrack/proxy/assembly.py
+++ b/src/radishtrack/proxy/assembly.py
@@ -1,4 +1,4 @@
-"""Puts the parts of a node together."""
+"""Creates a node's components and connects them."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
     settings : Settings
         Settings of the process.
     clock : Clock
-        Time of all parts.
+        Clock of all components.
     incarnation : int
         Higher than at any earlier start of this node.
     """
@@ -74,15 +74,15 @@
     platform = make_platform_client(settings.platform.url, clock)
     usage = make_usage_counter()
 
-    def observe_call(result: str, size: int) -> None:
+    def observe_call(result: str, size_bytes: int) -> None:
         metrics.count_platform_call(result)
-        metrics.count_control_bytes("platform", size)
+        metrics.count_control_bytes("platform", size_bytes)
 
     platform.observe = observe_call
 
     def find_owner(organisation: str) -> str:
-        found = configuration.document.organisations.get(organisation)
-        return found.owner if found else ""
+        configured = configuration.document.organisations.get(organisation)
+        return configured.owner if configured else ""
 
     async def admit(
         backend: DatabaseBackend, organisation: str, deadline_ms: float
@@ -177,7 +177,9 @@
 def _make_promoter_factory(votes: Votes, platform: PlatformClient) -> MakePromoter:
     store = make_group_store(platform)
 
-    def make(database: Database, record: GroupRecord, monitor: Monitor) -> Promoter:
+    def make_database_promoter(
+        database: Database, record: GroupRecord, monitor: Monitor
+    ) -> Promoter:
         slots = votes.slots
 
         def list_voters() -> tuple[str, ...]:
@@ -193,13 +195,13 @@
         async def request_votes(name: str, member: str) -> dict[str, bool]:
             return await votes.request(list_voters(), name, member)
 
-        def list_members_leaving() -> frozenset[str]:
+        def list_leaving_members() -> frozenset[str]:
             backend = slots.holder.databases.get(database.name)
             return backend.leaving() if backend else frozenset()
 
         return make_promoter(
             PromoterContext(
-                slots.node.id, compute_rank, list_voters, list_members_leaving
+                slots.node.id, compute_rank, list_voters, list_leaving_members
             ),
             record,
             monitor,
@@ -208,7 +210,7 @@
             request_votes,
         )
 
-    return make
+    return make_database_promoter
 
 
 async def serve(settings: Settings) -> None:
@@ -217,7 +219,7 @@
         settings, make_system_clock(), time.time_ns() // 1_000_000
     )
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, server.stopping.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, server.stopping.set)
     await server.start()
     await server.run()
--- a/src/radishtrack/proxy/entry.py
+++ b/src/radishtrack/proxy/entry.py
@@ -256,8 +256,7 @@
                     yield message
         except RequestError:
             if state.holder:
-                # The holder, or the connection to it, failed; the holder rolls back
-                # without being asked.
+                # The holder or the connection to it failed; the holder rolls back.
                 state.transaction_lost = (
                     state.in_transaction and request.kind not in _TRANSACTION_END_KINDS
                 )
--- a/src/radishtrack/proxy/node.py
+++ b/src/radishtrack/proxy/node.py
@@ -1,4 +1,4 @@
-"""One node: all parts put together, and the tasks that feed them."""
+"""A running node: its components, servers and background tasks."""
 
 from __future__ import annotations
 
@@ -64,16 +64,18 @@
 WATCHED_KINDS: Final = (MANIFEST_KIND, KEYS_KIND, GROUPS_KIND, MEMBERS_KIND)
 VM_LIST_INTERVAL_S: Final = 2.0
 VM_LIST_S_PER_NODE: Final = 0.1
-"""An entry has about 114 bytes, so that reading the list takes about 1.1 KB a second
-at any size of the fleet; nodes that leave tell their peers themselves."""
+"""Limits reading the list to about 1.1 KB/s at any size of the fleet, with about 114
+bytes per VM. Leaving nodes inform their peers directly."""
 
 RECONCILE_INTERVAL_S: Final = 0.5
-STEP_S: Final = 0.25
-LIST_WAIT_MS: Final = 5_000.0
-"""A node that is not listed after this time serves with what its peers told it."""
+LIST_RETRY_S: Final = 0.25
+LISTING_TIMEOUT_MS: Final = 5_000.0
+"""After this time, an unlisted node serves with its peers' copies."""
 
 IDLE_GRACE_MS: Final = 5_000.0
-DRAIN_STEP_S: Final = 0.05
+"""Time in which a draining node keeps idle client connections open."""
+
+DRAIN_CHECK_S: Final = 0.05
 
 
 @attrs.define
@@ -85,7 +87,7 @@
     settings : Settings
         Settings of the process.
     clock : Clock
-        Time of all parts.
+        Clock of all components.
     """
 
     settings: Settings
@@ -118,7 +120,7 @@
     stopping: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     async def start(self) -> None:
-        """Listen and start all tasks."""
+        """Start the servers and all background tasks."""
         listen = self.settings.listen
         self.started_ms = self.clock.now_ms()
         self.peer_server = await start_peer_server(
@@ -130,24 +132,24 @@
                 self.holder.execute,
                 self.holder.end_session,
                 self.holder.end_connection,
-                self._answer_peer,
+                self._handle_peer_message,
                 self.router.observe_control,
                 self.incarnation,
             ),
             tls=make_peer_server_tls(self.settings),
         )
-        for work in (
+        for coroutine in (
             self._follow_platform(),
             self.feed.run(),
             self._follow_vms(),
-            self._reconcile_often(),
-            self._end_idle_often(),
+            self._reconcile_periodically(),
+            self._end_idle_periodically(),
             self.rates.run(),
             self.copies.run(),
             self.reports.run(),
             self.votes.follow_terms(),
         ):
-            self._spawn(work)
+            self._spawn(coroutine)
         numbers = itertools.count(1)
         self.frontend = FrontendServer(
             session_factory=lambda: ClientSession(self.entry, next(numbers)),
@@ -172,7 +174,7 @@
         )
 
     async def run(self) -> None:
-        """Serve until a stop is requested, then finish what runs."""
+        """Serve until a stop is requested, then drain and close."""
         await self.stopping.wait()
         await self._announce(VmState.LEAVING)
         self.drain.begin(self.clock.now_ms())
@@ -185,16 +187,17 @@
                 await link.send(Leaving(self.node.id, self.incarnation))
         while self.drain.state is DrainState.DRAINING:
             now_ms = self.clock.now_ms()
-            waited_ms = now_ms - self.drain.started_ms
-            # The close of an idle connection could race with its next request, whose
-            # outcome the client would not know. For some time each gets error 9006.
-            idle = len(self.control.connections) if waited_ms < IDLE_GRACE_MS else 0
+            drained_ms = now_ms - self.drain.started_ms
+            # Closing an idle connection could race with the client's next request,
+            # whose outcome would then be unknown to the client. During the grace period
+            # such a request gets error 9006 instead.
+            idle = len(self.control.connections) if drained_ms < IDLE_GRACE_MS else 0
             self.drain.advance(
                 now_ms,
                 self.entry.running + self.holder.running + idle,
                 len(self.holder.transactions),
             )
-            await asyncio.sleep(DRAIN_STEP_S)
+            await asyncio.sleep(DRAIN_CHECK_S)
         await self.rates.leave()
         await self.reports.write()
         await self.close()
@@ -209,8 +212,8 @@
             task.cancel()
         if self.tasks:
             await asyncio.wait(self.tasks)
-        for owner, session in tuple(self.holder.transactions):
-            await self.holder.end_session(owner, session)
+        for connection_id, session in tuple(self.holder.transactions):
+            await self.holder.end_session(connection_id, session)
         await self.slots.close()
         await self.rates.stop()
         await self.router.close()
@@ -221,15 +224,15 @@
             await self.admin.close()
         await self.platform.close()
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.create_task(coroutine)
         self.tasks.add(task)
-        task.add_done_callback(self._forget_task)
+        task.add_done_callback(self._remove_task)
 
-    def _forget_task(self, task: asyncio.Task[None]) -> None:
+    def _remove_task(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            # No task ends by itself; going on without one would break guarantees.
+            # Guarantees depend on every background task, so a failure stops the node.
             log_event(Event.TASK_FAILED, error=repr(task.exception()))
             self.stopping.set()
 
@@ -245,7 +248,7 @@
 
     def _refuse_reason(self) -> str | None:
         if self.drain.state is not DrainState.SERVING:
-            return "this node stops"
+            return "this node is shutting down"
         return None
 
     def _check_ready(self) -> Readiness:
@@ -253,12 +256,12 @@
             return Readiness(False, "draining")
         if self.configuration.revision == 0:
             return Readiness(False, "no configuration")
-        is_starting = self.clock.now_ms() - self.started_ms < LIST_WAIT_MS
+        is_starting = self.clock.now_ms() - self.started_ms < LISTING_TIMEOUT_MS
         if is_starting and not self.is_listed:
             return Readiness(False, "not in the platform's list of VMs yet")
         return Readiness(True)
 
-    async def _answer_peer(self, peer: str, message: Message) -> Message | None:
+    async def _handle_peer_message(self, peer: str, message: Message) -> Message | None:
         match message:
             case VoteRequest():
                 return await self.votes.handle_vote_request(message)
@@ -280,44 +283,44 @@
             self.platform,
             WATCHED_KINDS,
             self._apply_objects,
-            on_contact=self._note_contact,
+            on_contact=self._record_contact,
         )
 
-    def _note_contact(self, answered: bool) -> None:
-        if answered:
+    def _record_contact(self, has_responded: bool) -> None:
+        if has_responded:
             contact_ms = self.platform.last_contact_ms or 0.0
             self.copies.contacts.record_platform_contact(contact_ms)
 
-    def _apply_objects(self, answer: WatchAnswer) -> None:
+    def _apply_objects(self, response: WatchAnswer) -> None:
         revoked: set[str] = set()
-        for found in answer.objects:
-            if found.kind == KEYS_KIND:
+        for item in response.objects:
+            if item.kind == KEYS_KIND:
                 for key in self.keyring.apply_object(
-                    found.name, found.version, found.value
+                    item.name, item.version, item.value
                 ):
-                    revoked.add(found.name)
+                    revoked.add(item.name)
                     self.close_revoked(key)
-            elif found.kind == GROUPS_KIND and found.value is not None:
+            elif item.kind == GROUPS_KIND and item.value is not None:
                 try:
-                    record = parse_record(found.name, found.version, found.value)
+                    record = parse_record(item.name, item.version, item.value)
                 except RecordError as error:
                     log_event(Event.GROUP_RECORD_INVALID, reason=error)
                     continue
                 self.slots.update_record(record)
-            elif found.kind == MEMBERS_KIND:
-                leaving = (found.value or {}).get("leaving")
+            elif item.kind == MEMBERS_KIND:
+                leaving = (item.value or {}).get("leaving")
                 members = leaving if isinstance(leaving, list) else []
-                self.slots.set_leaving_members(found.name, frozenset(map(str, members)))
-            elif found.name == MANIFEST_NAME and found.value is not None:
-                self.feed.update_manifest(found.value)
+                self.slots.set_leaving_members(item.name, frozenset(map(str, members)))
+            elif item.name == MANIFEST_NAME and item.value is not None:
+                self.feed.update_manifest(item.value)
         if revoked:
-            work = self.copies.announce_revoked(frozenset(revoked))
-            task = asyncio.create_task(work)
+            announcement = self.copies.announce_revoked(frozenset(revoked))
+            task = asyncio.create_task(announcement)
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
     def close_revoked(self, key: RevokedKey) -> None:
-        """Close all client connections that were opened with a key."""
+        """Close all client connections that logged in with a revoked key."""
         closed = 0
         for connection in tuple(self.control.connections.values()):
             state = connection.session.state
@@ -335,20 +338,20 @@
                 pass
             else:
                 self.membership.apply_list(map(_make_node, listed))
-                own = {vm.state for vm in listed if vm.id == self.node.id}
-                if self.is_listed and VmState.LEAVING in own:
+                own_states = {vm.state for vm in listed if vm.id == self.node.id}
+                if self.is_listed and VmState.LEAVING in own_states:
                     self.stopping.set()
-                # The list lags: an entry of this VM from before the start says nothing.
-                self.is_listed = self.is_listed or VmState.LIVE in own
+                # The list lags and may show this VM's state from before its start.
+                self.is_listed = self.is_listed or VmState.LIVE in own_states
             interval_s = max(
                 VM_LIST_INTERVAL_S, VM_LIST_S_PER_NODE * len(self.membership.listed)
             )
-            await self._wait_for_list(interval_s if self.is_listed else STEP_S)
+            await self._wait_for_list(interval_s if self.is_listed else LIST_RETRY_S)
 
     async def _wait_for_list(self, interval_s: float) -> None:
-        await asyncio.sleep(STEP_S)
+        await asyncio.sleep(LIST_RETRY_S)
         try:
-            async with asyncio.timeout(max(0.0, interval_s - STEP_S)):
+            async with asyncio.timeout(max(0.0, interval_s - LIST_RETRY_S)):
                 await self.router.list_refresh.wait()
         except TimeoutError:
             pass
@@ -367,19 +370,19 @@
         except (PlatformUnavailable, PlatformRefusal) as error:
             log_event(Event.PLATFORM_UNAVAILABLE, reason=error)
 
-    async def _reconcile_often(self) -> None:
+    async def _reconcile_periodically(self) -> None:
         while True:
             self.reconcile()
             await asyncio.sleep(RECONCILE_INTERVAL_S)
 
     def reconcile(self) -> None:
-        """Match slots and limits with the membership and the configuration."""
+        """Apply the current membership and configuration to slots and limits."""
         self.placement.set_nodes(self.membership.list_nodes(self.clock.now_ms()))
         is_leaving = self.drain.state is not DrainState.SERVING
         self.slots.reconcile(self.configuration.document, is_leaving=is_leaving)
         self.rates.update_document(self.configuration.document)
 
-    async def _end_idle_often(self) -> None:
+    async def _end_idle_periodically(self) -> None:
         limit_ms = self.settings.limits.idle_transaction_ms
         while True:
             await asyncio.sleep(min(1.0, limit_ms / 2000))
--- a/src/radishtrack/proxy/proxy.py
+++ b/src/radishtrack/proxy/proxy.py
@@ -8,7 +8,7 @@
 
 
 async def run(settings: Settings) -> int:
-    """Run a node until it is told to stop; return the exit code."""
+    """Run a node until a stop is requested; return the exit code."""
     use_json_lines(settings.log.format == "json")
     await serve(settings)
     return 0
