--- a/src/radishtrack/proxy/promoter.py
+++ b/src/radishtrack/proxy/promoter.py
@@ -144,7 +144,7 @@
 
     def _find_trigger(self, now_ms: float) -> Message | None:
         group = self.record.group
-        rank = self.context.rank()
+        rank = self.context.get_rank()
         self.fencing.observe(self._list_recent_statuses(now_ms), group, now_ms)
         if not self.monitor.is_suspected(group.primary):
             self.suspected_ms = None
@@ -170,8 +170,8 @@
         attempt = make_promotion_attempt(
             self.record.group,
             f"{self.context.node}-{uuid.uuid4()}",
-            self.context.voters(),
-            self.context.leaving(),
+            self.context.list_voters(),
+            self.context.list_leaving_members(),
         )
         self.attempt = attempt
         self.messages = asyncio.Queue()
--- a/src/radishtrack/proxy/promoter_context.py
+++ b/src/radishtrack/proxy/promoter_context.py
@@ -19,16 +19,16 @@
     ----------
     node : str
         Name of the node.
-    rank : callable
+    get_rank : callable
         Returns the node's position in the placement order; rank 0 starts a promotion
         first.
-    voters : callable
+    list_voters : callable
         Returns the names of all voters.
-    leaving : callable
+    list_leaving_members : callable
         Returns the members that are to be taken out of service.
     """
 
     node: str
-    rank: Callable[[], int]
-    voters: Callable[[], tuple[str, ...]]
-    leaving: Callable[[], frozenset[str]]
+    get_rank: Callable[[], int]
+    list_voters: Callable[[], tuple[str, ...]]
+    list_leaving_members: Callable[[], frozenset[str]]
--- a/src/radishtrack/proxy/switchover.py
+++ b/src/radishtrack/proxy/switchover.py
@@ -56,10 +56,10 @@
             Whether the primary was fenced, so that a promotion must follow.
         """
         clock, group = self.monitor.clock, record.group
-        leaving = self.context.leaving()
+        leaving = self.context.list_leaving_members()
         now_ms = clock.now_ms()
         if now_ms < self.not_before_ms or not should_switch_over(
-            group, statuses, leaving, self.context.rank()
+            group, statuses, leaving, self.context.get_rank()
         ):
             return False
         self.not_before_ms = now_ms + PAUSE_MS
--- a/tests/features/freshness.feature
+++ b/tests/features/freshness.feature
@@ -16,13 +16,13 @@
       | just cut off, peers not queried yet          | 20      |                                    | 8     | serve         |
       | cut off, one peer confirms its copy          | 3600    | 1:up:1                             | 8     | peers         |
       | cut off, the confirmation is too old         | 3600    | 1:up:31                            | 1     | refuse copy   |
-      | cut off, peers unresponsive too long         | 31      | 31:down:- 31:down:- 31:down:-      | 4     | refuse silent |
-      | cut off, half of the peers respond           | 31      | 1:down:- 1:down:-                  | 4     | refuse silent |
-      | cut off, no peer responds                    | 31      |                                    | 4     | refuse silent |
-      | cut off, without peers                       | 31      |                                    | 0     | refuse silent |
+      | cut off, peers unresponsive too long         | 31      | 31:down:- 31:down:- 31:down:-      | 4     | refuse peers  |
+      | cut off, half of the peers respond           | 31      | 1:down:- 1:down:-                  | 4     | refuse peers  |
+      | cut off, no peer responds                    | 31      |                                    | 4     | refuse peers  |
+      | cut off, without peers                       | 31      |                                    | 0     | refuse peers  |
       | outage, more than half agree                 | 3600    | 1:down:- 1:down:- 1:down:-         | 4     | outage        |
       | outage, reports nearly too old               | 3600    | 30:down:- 30:down:- 29:down:-      | 4     | outage        |
-      | outage, half agree, the rest is unresponsive | 3600    | 1:down:- 1:down:-                  | 4     | refuse silent |
+      | outage, half agree, the rest is unresponsive | 3600    | 1:down:- 1:down:-                  | 4     | refuse peers  |
       | outage, half agree and the rest has no copy  | 3600    | 1:down:- 1:down:- 1:up:- 1:up:-    | 4     | refuse copy   |
       | outage, a minority reaches the platform      | 3600    | 1:down:- 1:down:- 1:down:- 1:up:2  | 4     | peers         |
       | outage of nearly 24 h                        | 86400   | 1:down:- 1:down:-                  | 2     | outage        |
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -1,6 +1,6 @@
-"""Guards what clients see through ordinary drivers: PyMySQL and aiomysql.
+"""Guards the behaviour of the proxy with common drivers: PyMySQL and aiomysql.
 
-One cluster serves all tests: three members and two proxies; the second offers TLS.
+All tests share one cluster of three members and two proxies, the second with TLS.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
     )
     cluster = start_cluster(plan)
     try:
-        remove_catch_all(cluster)
+        remove_catch_all_route(cluster)
         restart_with_tls(cluster)
         connection = connect(cluster, autocommit=True)
         for table in ("orders", "receipts", "history"):
@@ -59,8 +59,8 @@
         cluster.close()
 
 
-def remove_catch_all(cluster: Cluster) -> None:
-    """Apply a configuration in which a table that no route names has no route."""
+def remove_catch_all_route(cluster: Cluster) -> None:
+    """Remove the route of all tables, so that a table needs a route of its own."""
     platform = ("--platform", cluster.platform_url)
     shown = cluster.run_cli("config", "show", *platform).stdout
     blocks = shown.split("[[service.route]]")
@@ -78,8 +78,8 @@
 
 
 def restart_with_tls(cluster: Cluster) -> None:
-    """Give the second proxy a certificate."""
-    certificate, key = certificate_path(cluster), cluster.directory / "key.pem"
+    """Restart the second proxy with a certificate."""
+    certificate, key = get_certificate_path(cluster), cluster.directory / "key.pem"
     subprocess.run(
         [
             *("openssl", "req", "-x509", "-newkey", "rsa:2048", "-nodes"),
@@ -99,7 +99,7 @@
     wait_ready(cluster)
 
 
-def certificate_path(cluster: Cluster) -> Path:
+def get_certificate_path(cluster: Cluster) -> Path:
     return cluster.directory / "certificate.pem"
 
 
@@ -122,7 +122,7 @@
 
 
 def count(connection: Any, name: str) -> int:
-    """Return the number of orders with a name; the read is strict."""
+    """Return the number of orders with a name, by a strict read."""
     rows = run(
         connection,
         "/*radishtrack class=strict*/ SELECT COUNT(*) FROM orders WHERE name = %s",
@@ -132,16 +132,16 @@
 
 
 def insert(connection: Any, name: str, options: str = "") -> int:
-    """Insert an order and return its number."""
+    """Insert an order and return its ID."""
     with connection.cursor() as cursor:
         cursor.execute(f"{options}INSERT INTO orders (name) VALUES (%s)", (name,))
         return int(cursor.lastrowid)
 
 
-def read_code(function: Any, *arguments: Any, **named: Any) -> int:
+def catch_error_code(function: Any, *arguments: Any, **keywords: Any) -> int:
     """Return the code of the error that a call raises."""
     with pytest.raises(pymysql.err.MySQLError) as caught:
-        function(*arguments, **named)
+        function(*arguments, **keywords)
     return int(caught.value.args[0])
 
 
@@ -161,24 +161,24 @@
         {"user": "nobody", "password": "x"},
     ],
 )
-def test_wrong_logins_are_refused_alike(
+def test_wrong_logins_get_the_same_error(
     cluster: Cluster, changes: dict[str, str]
 ) -> None:
-    assert read_code(connect, cluster, **changes) == 1045
+    assert catch_error_code(connect, cluster, **changes) == 1045
 
 
 def test_key_of_another_organisation_is_refused(cluster: Cluster) -> None:
-    assert read_code(connect, cluster, password=cluster.keys[OTHER]) == 1045
+    assert catch_error_code(connect, cluster, password=cluster.keys[OTHER]) == 1045
 
 
 @pytest.mark.parametrize("database", [None, "missing"])
 def test_statement_without_known_database_is_refused(
     cluster: Cluster, database: str | None
 ) -> None:
-    def work() -> None:
+    def run_statement() -> None:
         run(connect(cluster, database=database, autocommit=True), "SELECT 1")
 
-    assert read_code(work) in (9005, 1049)
+    assert catch_error_code(run_statement) in (9005, 1049)
 
 
 def test_database_can_be_selected_later(cluster: Cluster) -> None:
@@ -189,8 +189,8 @@
     assert run(connection, "SELECT 2") == ((2,),)
 
 
-def test_parameters_come_back_unchanged(connection: Any) -> None:
-    """Escaping must survive the options parser and two servers."""
+def test_parameters_are_returned_unchanged(connection: Any) -> None:
+    """Escaping must survive the parser of options, the proxy and the member."""
     name = "Ærø 'sko' \"x\" \\ % ☃ /*radishtrack class=x*/"
     made = datetime.datetime(2026, 1, 2, 3, 4, 5)
     with connection.cursor() as cursor:
@@ -217,8 +217,8 @@
     assert count(connection, "many") == 500
 
 
-def test_variables_are_answered(connection: Any) -> None:
-    """Drivers and tools ask for these before their first statement."""
+def test_variables_are_returned(connection: Any) -> None:
+    """Drivers and tools read them before their first statement."""
     assert run(connection, "SELECT @@version")[0][0]
     assert run(connection, "SELECT @@autocommit") == (("1",),)
     shown = dict(run(connection, "SHOW VARIABLES LIKE 'version%'"))
@@ -242,7 +242,7 @@
 def test_rollback_in_the_default_mode_of_the_driver(
     cluster: Cluster, connection: Any
 ) -> None:
-    """Once, the greeting lacked the autocommit flag, so PyMySQL left it on."""
+    """If the greeting lacks the autocommit flag, PyMySQL leaves autocommit on."""
     writer = connect(cluster)
     insert(writer, "default mode")
     assert count(connection, "default mode") == 0
@@ -251,7 +251,7 @@
 
 
 def test_begin_commits_the_open_transaction(cluster: Cluster, connection: Any) -> None:
-    """Once, a second BEGIN was refused and the first transaction was lost."""
+    """If the second BEGIN is refused, the first transaction is lost."""
     writer = connect(cluster)
     run(writer, "SET autocommit = 0")
     insert(writer, "before begin")
@@ -262,8 +262,8 @@
     assert count(connection, "after begin") == 0
 
 
-def test_binary_values_come_back_unchanged(connection: Any) -> None:
-    """Once, they were sent as text, which broke the driver's connection."""
+def test_binary_values_are_returned_unchanged(connection: Any) -> None:
+    """If they are sent as text, the driver's connection breaks."""
     value = bytes(range(256))
     with connection.cursor() as cursor:
         cursor.execute("INSERT INTO orders (picture) VALUES (%s)", (value,))
@@ -273,11 +273,11 @@
 
 
 def test_packet_limit_is_announced(connection: Any) -> None:
-    """Once, clients were told the library's 64 MiB, and larger batches failed."""
+    """If the library's 64 MiB are announced, batches over the proxy's limit fail."""
     assert run(connection, "SELECT @@max_allowed_packet") == (("1048576",),)
 
 
-def test_commit_of_a_transaction_is_seen_at_the_other_proxy(cluster: Cluster) -> None:
+def test_commit_is_visible_through_the_other_proxy(cluster: Cluster) -> None:
     writer = connect(cluster, 0, autocommit=True)
     writer.begin()
     insert(writer, "committed")
@@ -287,7 +287,7 @@
     assert count(reader, "committed") == 1
 
 
-def test_switching_autocommit_on_commits(cluster: Cluster, connection: Any) -> None:
+def test_enabling_autocommit_commits(cluster: Cluster, connection: Any) -> None:
     writer = connect(cluster, autocommit=True)
     run(writer, "SET autocommit = 0")
     insert(writer, "switched")
@@ -309,7 +309,7 @@
     connection.begin()
     insert(connection, "kept")
     duplicate = f"INSERT INTO orders (id) VALUES ({first})"
-    assert read_code(run, connection, duplicate) == 1062
+    assert catch_error_code(run, connection, duplicate) == 1062
     insert(connection, "kept")
     connection.commit()
     assert count(connection, "kept") == 2
@@ -332,8 +332,8 @@
     ],
 )
 def test_error_codes(connection: Any, statement: str, code: int) -> None:
-    """The connection stays usable after each refusal."""
-    assert read_code(run, connection, statement) == code
+    """The connection stays usable after each error."""
+    assert catch_error_code(run, connection, statement) == code
     assert run(connection, "SELECT 1") == ((1,),)
 
 
@@ -374,14 +374,14 @@
 
 
 def test_repeated_request_id_runs_once(cluster: Cluster) -> None:
-    """Also through another proxy, and with the recorded insert number."""
+    """A repeat through another proxy returns the recorded insert ID without running."""
     options = "/*radishtrack request_id=receipt-1*/ "
     first = insert(connect(cluster, 0, autocommit=True), "once", options)
     second = insert(connect(cluster, 1, autocommit=True), "once", options)
     connection = connect(cluster, autocommit=True)
     assert first == second
     assert count(connection, "once") == 1
-    assert read_code(insert, connection, "different", options) == 9004
+    assert catch_error_code(insert, connection, "different", options) == 9004
 
 
 def test_request_id_belongs_to_an_organisation(cluster: Cluster) -> None:
@@ -392,7 +392,7 @@
 
 
 def test_large_result_is_complete(cluster: Cluster) -> None:
-    """Both read at once and row by row; a half-read one leaves the driver usable."""
+    """It may be read at once or by row; one read in part leaves the driver usable."""
     writer = connect(cluster, autocommit=True)
     with writer.cursor() as cursor:
         for start in range(0, LARGE_RESULT_ROWS, 10_000):
@@ -416,11 +416,11 @@
 def test_statement_over_the_limit_is_refused(cluster: Cluster) -> None:
     connection = connect(cluster, autocommit=True)
     insert(connection, "x" * 900_000)
-    assert read_code(insert, connection, "x" * 2_000_000) == 1153
+    assert catch_error_code(insert, connection, "x" * 2_000_000) == 1153
 
 
 def test_prepared_statement(connection: Any) -> None:
-    """PyMySQL has no prepared statements, so its packets are written here."""
+    """PyMySQL has no prepared statements, so the test writes the packets."""
     number = insert(connection, "prepared")
     connection._execute_command(
         PREPARE, "/*radishtrack class=strict*/ SELECT name FROM orders WHERE id = ?"
@@ -440,25 +440,31 @@
 
 
 def test_tls_is_offered_and_checked(cluster: Cluster) -> None:
-    secure = {"ssl_disabled": False, "ssl": {"ca": str(certificate_path(cluster))}}
-    connection = connect(cluster, 1, autocommit=True, **secure)
+    tls_arguments = {
+        "ssl_disabled": False,
+        "ssl": {"ca": str(get_certificate_path(cluster))},
+    }
+    connection = connect(cluster, 1, autocommit=True, **tls_arguments)
     assert connection._sock.version() == "TLSv1.3"
     insert(connection, "y" * 500_000)
     assert run(connection, "SELECT 1") == ((1,),)
-    assert read_code(connect, cluster, 0, **secure) == 2026
+    assert catch_error_code(connect, cluster, 0, **tls_arguments) == 2026
 
 
 def test_every_tls_connect_succeeds(cluster: Cluster) -> None:
-    """Once, bytes that came before the TLS protocol was in place were lost."""
-    secure = {"ssl_disabled": False, "ssl": {"ca": str(certificate_path(cluster))}}
+    """Bytes that arrive before the TLS protocol is in place must not be lost."""
+    tls_arguments = {
+        "ssl_disabled": False,
+        "ssl": {"ca": str(get_certificate_path(cluster))},
+    }
     for _ in range(150):
-        connect(cluster, 1, autocommit=True, **secure).close()
+        connect(cluster, 1, autocommit=True, **tls_arguments).close()
 
 
 def test_tls_handshake_may_come_with_the_request(cluster: Cluster) -> None:
-    """Once, a client's first TLS bytes were lost if they came with its SSL request."""
+    """A client's first TLS bytes must not be lost if they come with its SSL request."""
     incoming, outgoing = ssl.MemoryBIO(), ssl.MemoryBIO()
-    context = ssl.create_default_context(cafile=str(certificate_path(cluster)))
+    context = ssl.create_default_context(cafile=str(get_certificate_path(cluster)))
     client = context.wrap_bio(incoming, outgoing, server_hostname="127.0.0.1")
     with pytest.raises(ssl.SSLWantReadError):
         client.do_handshake()
@@ -476,7 +482,7 @@
 
 
 async def test_aiomysql_pool_over_tls(cluster: Cluster) -> None:
-    context = ssl.create_default_context(cafile=str(certificate_path(cluster)))
+    context = ssl.create_default_context(cafile=str(get_certificate_path(cluster)))
     pool = await aiomysql.create_pool(
         host="127.0.0.1",
         port=cluster.proxies[1].client_port,
@@ -502,20 +508,23 @@
 
 
 def test_open_route_needs_no_key(cluster: Cluster) -> None:
-    visitor = connect(cluster, user="open", password="", autocommit=True)
-    assert run(visitor, "SELECT COUNT(*) FROM history") == ((0,),)
-    assert read_code(run, visitor, "SELECT COUNT(*) FROM orders") == 9005
-    assert read_code(run, visitor, "INSERT INTO history (id) VALUES (1)") == 9005
+    open_client = connect(cluster, user="open", password="", autocommit=True)
+    assert run(open_client, "SELECT COUNT(*) FROM history") == ((0,),)
+    assert catch_error_code(run, open_client, "SELECT COUNT(*) FROM orders") == 9005
+    assert (
+        catch_error_code(run, open_client, "INSERT INTO history (id) VALUES (1)")
+        == 9005
+    )
 
 
 def test_statement_with_a_key_is_refused(cluster: Cluster, connection: Any) -> None:
-    assert read_code(insert, connection, cluster.keys[OTHER]) == 9001
+    assert catch_error_code(insert, connection, cluster.keys[OTHER]) == 9001
 
 
 def test_options_with_a_key_are_refused(cluster: Cluster, connection: Any) -> None:
-    """Once, a key given as request ID was written into the database's journal."""
+    """A key as request ID would be stored in the database's journal."""
     option = f"/*radishtrack request_id={cluster.keys[OTHER]}*/ "
-    assert read_code(insert, connection, "a", option) == 9001
+    assert catch_error_code(insert, connection, "a", option) == 9001
 
 
 def test_revoked_key_ends_open_connections(cluster: Cluster) -> None:
@@ -523,21 +532,21 @@
     deadline = time.monotonic() + 10
     while True:
         try:
-            opened = connect(cluster, user=OTHER, password=key, autocommit=True)
+            connection = connect(cluster, user=OTHER, password=key, autocommit=True)
             break
         except pymysql.err.OperationalError:
             assert time.monotonic() < deadline
             time.sleep(0.05)
-    run(opened, "SELECT 1")
+    run(connection, "SELECT 1")
     arguments = ("keys", "revoke", OTHER, key.split("_")[1])
     assert cluster.run_cli(*arguments, "--platform", cluster.platform_url)
     while time.monotonic() < deadline:
         try:
-            run(opened, "SELECT 1")
+            run(connection, "SELECT 1")
         except pymysql.err.MySQLError as error:
             assert error.args[0] in (1045, 2013)
             break
         time.sleep(0.02)
     else:
         raise AssertionError("the revoked key still works")
-    assert read_code(connect, cluster, user=OTHER, password=key) == 1045
+    assert catch_error_code(connect, cluster, user=OTHER, password=key) == 1045
--- a/tests/test_fleet_copy.py
+++ b/tests/test_fleet_copy.py
@@ -1,4 +1,4 @@
-"""Guards what a starting node takes from its peers while the platform is down."""
+"""Guards the copies that a starting node accepts while the platform is down."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
     assert open_fleet(sealed, SECRET) == FleetCopy(RECORDS, NODES)
 
 
-def test_a_copy_of_a_stranger_is_ignored() -> None:
+def test_a_copy_with_another_secret_is_ignored() -> None:
     assert open_fleet(seal_fleet(RECORDS, NODES, "another"), SECRET) is None
 
 
-def test_a_changed_copy_is_ignored() -> None:
+def test_a_modified_copy_is_ignored() -> None:
     sealed = bytearray(seal_fleet(RECORDS, NODES, SECRET))
     sealed[-1] ^= 1
     assert open_fleet(bytes(sealed), SECRET) is None
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -1,4 +1,4 @@
-"""Guards that a node that may have missed a revocation refuses requests."""
+"""Guards that a node refuses requests if it may have missed a revocation."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 NOW_MS = 1_000_000_000.0
 REASONS = {
-    "refuse silent": "heard from",
+    "refuse peers": "heard from",
     "refuse copy": "no copy",
     "refuse age": "older than 24 h",
 }
@@ -118,7 +118,7 @@
 
 
 def test_partitioned_region_continues_to_serve() -> None:
-    """If the whole fleet counted, the smaller region would refuse everything."""
+    """If all regions counted, the smaller one would refuse all requests."""
     state = make_contact_state()
     state.record_platform_contact(0.0)
     fleet = frozenset({"a", "b", "x1", "x2", "x3", "x4"})
