--- a/src/radishtrack/proxy/copies.py
+++ b/src/radishtrack/proxy/copies.py
@@ -23,7 +23,7 @@
 from radishtrack.proxy.slots import Slots
 from radishtrack.settings import Address
 
-STEP_S: Final = 0.5
+CHECK_INTERVAL_S: Final = 0.5
 UNREACHABLE_AFTER_MS: Final = 3_500.0
 """Longer than a watch of the platform waits for a change."""
 
@@ -107,7 +107,10 @@
         return Copy(request.request, min(age_ms, NEVER_MS), tuple(objects))
 
     async def announce_revoked(self, organisations: frozenset[str]) -> None:
-        """Send the keys to connected peers, which may not reach the platform."""
+        """Send the keys of organisations with a revoked key to connected peers.
+
+        A peer may be unable to read them from the platform.
+        """
         changed = make_keyring()
         changed.organisations = {
             name: keys
@@ -152,7 +155,7 @@
                     *(self._request_copy(name) for name in others),
                     *(self._request_seed(seed) for seed in self._list_unlisted_seeds()),
                 )
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
     def _list_linked(self) -> frozenset[str]:
         # Nodes reached by a seed address are peers before the platform's list has them.
--- a/src/radishtrack/proxy/node.py
+++ b/src/radishtrack/proxy/node.py
@@ -75,7 +75,7 @@
 IDLE_GRACE_MS: Final = 5_000.0
 """Time in which a draining node keeps idle client connections open."""
 
-DRAIN_CHECK_S: Final = 0.05
+DRAIN_CHECK_INTERVAL_S: Final = 0.05
 
 
 @attrs.define
@@ -197,7 +197,7 @@
                 self.entry.running + self.holder.running + idle,
                 len(self.holder.transactions),
             )
-            await asyncio.sleep(DRAIN_CHECK_S)
+            await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
         await self.rates.leave()
         await self.reports.write()
         await self.close()
--- a/src/radishtrack/proxy/rates.py
+++ b/src/radishtrack/proxy/rates.py
@@ -55,9 +55,9 @@
     make_share_state,
 )
 
-STEP_S: Final = 0.05
+TICK_INTERVAL_S: Final = 0.05
 MAX_FAILED_REQUESTS: Final = 10
-"""Token requests without response, which take about a second, after which a holder
+"""After so many token requests without response, which take about a second, a holder
 without a standing share refuses at once."""
 
 FIRST_RECORD_READ_MS: Final = 1_500.0
@@ -78,7 +78,7 @@
     failed_requests: int = 0
     """Consecutive token requests to which no allocator responded."""
     updated: asyncio.Event = attrs.field(factory=asyncio.Event)
-    """Set for a moment after each response to a token request, or its failure."""
+    """Set and cleared after each token request, which wakes all waiting requests."""
 
 
 @attrs.define
@@ -181,8 +181,8 @@
             for name in self.allocators.list_idle():
                 self._spawn(self.allocators.maintain(name))
             for name, held in tuple(self.shares.items()):
-                self._advance_share(name, held, now_ms)
-            await asyncio.sleep(STEP_S)
+                self._tick_share(name, held, now_ms)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
     async def leave(self) -> None:
         """Return tokens and release leases before the process ends."""
@@ -289,7 +289,7 @@
             pass
         return None, ""
 
-    def _advance_share(self, name: str, held: HeldShare, now_ms: float) -> None:
+    def _tick_share(self, name: str, held: HeldShare, now_ms: float) -> None:
         if now_ms - held.used_ms > IDLE_MS and not held.waiting:
             del self.shares[name]
             self._spawn(self._send(held, held.state.leave(now_ms)))
--- a/src/radishtrack/proxy/votes.py
+++ b/src/radishtrack/proxy/votes.py
@@ -19,7 +19,7 @@
 from radishtrack.settings import DatabaseLogin
 
 PROBE_TIMEOUT_S: Final = 0.4
-RECORD_CHECK_S: Final = 0.25
+RECORD_CHECK_INTERVAL_S: Final = 0.25
 RECENT_RESPONSE_MS: Final = 300.0
 
 
@@ -101,7 +101,7 @@
             for database in tuple(self.slots.holder.databases):
                 if self.slots.is_record_outdated(database):
                     await self._fetch_record(database)
-            await asyncio.sleep(RECORD_CHECK_S)
+            await asyncio.sleep(RECORD_CHECK_INTERVAL_S)
 
     async def _fetch_record(self, database: str) -> None:
         names = self.slots.list_voters(database)
