--- a/benchmarks/capacity/watch.py
+++ b/benchmarks/capacity/watch.py
@@ -47,7 +47,7 @@
 from radishtrack.keys.keyring import KIND as KEYS_KIND
 from radishtrack.objects.client import PlatformClient
 from radishtrack.objects.records import (
-    WatchAnswer,
+    WatchResponse,
 )
 from radishtrack.objects.watch import follow_objects
 from radishtrack.proxy.node import WATCHED_KINDS
@@ -71,7 +71,7 @@
     manifest: Manifest | None = None
     arrived_at: float = 0.0
 
-    def apply(self, answer: WatchAnswer) -> None:
+    def apply(self, answer: WatchResponse) -> None:
         """Note a manifest."""
         for found in answer.objects:
             if found.kind == MANIFEST_KIND and found.value is not None:
--- a/benchmarks/pooler_decisions.py
+++ b/benchmarks/pooler_decisions.py
@@ -9,7 +9,7 @@
 
 from radishtrack.clock import ManualTime, make_manual_clock
 from radishtrack.group.status import Role
-from radishtrack.platform.wire import format_client_answer, parse_query
+from radishtrack.platform.wire import format_client_response, parse_query
 from radishtrack.pooler.catalog import (
     Catalog,
     GroupSettings,
@@ -89,7 +89,7 @@
         plan = groups[route.group].plan_read(route, Position(1, 30), owner.name)
         assert plan is not None and plan.members
         answer = ClientAnswer(TransactionState.IDLE, ("row",), "signature")
-        format_client_answer(answer)
+        format_client_response(answer)
 
     best = min(timeit.repeat(decide, number=ROUNDS, repeat=3))
     return best / ROUNDS * 1e6
--- a/src/radishtrack/backend/connection.py
+++ b/src/radishtrack/backend/connection.py
@@ -86,7 +86,7 @@
 
     endpoint: MemberEndpoint
     raw: Any
-    in_doubt: bool = False
+    is_in_doubt: bool = False
     dirty: bool = False
     last_used_ms: float = 0.0
 
@@ -99,7 +99,7 @@
     def is_reusable(self) -> bool:
         """Whether another session may use the connection."""
         return not (
-            self.in_doubt
+            self.is_in_doubt
             or self.dirty
             or self.raw.closed
             or self.raw.get_transaction_status()
@@ -178,7 +178,7 @@
 
     def close(self) -> None:
         """Close the socket at once."""
-        self.in_doubt = True
+        self.is_in_doubt = True
         self.raw.close()
 
     @contextlib.contextmanager
@@ -209,13 +209,13 @@
         A cancelled step leaves the answer on the wire, so the connection is closed: a
         later user would take it for its own.
         """
-        self.in_doubt = True
+        self.is_in_doubt = True
         try:
             yield
         except MySQLError as error:
             code = error.args[0] if error.args else 0
             if isinstance(code, int) and code and code not in CLIENT_ERRORS:
-                self.in_doubt = False
+                self.is_in_doubt = False
                 raise MemberError(code, str(error.args[-1])) from error
             self.close()
             raise AnswerLost(f"{self.member}: {error}") from error
@@ -226,7 +226,7 @@
         except BaseException:
             self.close()
             raise
-        self.in_doubt = False
+        self.is_in_doubt = False
 
 
 def _describe_type(field: Any) -> int:
--- a/src/radishtrack/backend/database.py
+++ b/src/radishtrack/backend/database.py
@@ -79,10 +79,10 @@
         return {
             member: status
             for member, status in self.monitor.latest.items()
-            if self.monitor.answered_ms(member) >= oldest_ms
+            if self.monitor.answered_poll_sent_ms(member) >= oldest_ms
         }
 
-    def is_replaced(self, group: Group) -> bool:
+    def has_later_term(self, group: Group) -> bool:
         """Tell whether a member already belongs to a later term than the record."""
         latest = self.monitor.latest.values()
         return any(status.term > group.term for status in latest)
--- a/src/radishtrack/backend/journal.py
+++ b/src/radishtrack/backend/journal.py
@@ -57,7 +57,9 @@
         )
 
 
-def make_entry(organisation: str, request_id: str, statement: str) -> JournalEntry:
+def make_journal_entry(
+    organisation: str, request_id: str, statement: str
+) -> JournalEntry:
     """Return the journal entry of a request.
 
     Raises
--- a/src/radishtrack/backend/monitor.py
+++ b/src/radishtrack/backend/monitor.py
@@ -77,7 +77,7 @@
         """The last status of each member that ever answered."""
         return self.board.latest
 
-    def answered_ms(self, member: str) -> float:
+    def answered_poll_sent_ms(self, member: str) -> float:
         """Return when the poll behind `latest` was sent; -inf without an answer."""
         polled = self.board.polled.get(member)
         return -math.inf if polled is None else polled.sent_ms
--- a/src/radishtrack/backend/transaction.py
+++ b/src/radishtrack/backend/transaction.py
@@ -184,7 +184,7 @@
     """
     while True:
         group = backend.group
-        if backend.is_replaced(group):
+        if backend.has_later_term(group):
             await backend.pause("begin", deadline_ms)
             continue
         resources = AsyncExitStack()
--- a/src/radishtrack/backend/write.py
+++ b/src/radishtrack/backend/write.py
@@ -97,7 +97,7 @@
     may_have_run = False
     while True:
         group = backend.group
-        if backend.is_replaced(group):
+        if backend.has_later_term(group):
             # The primary may have been replaced: nothing is sent to it any more.
             await _pause(backend, deadline_ms, may_have_run)
             continue
--- a/src/radishtrack/objects/client.py
+++ b/src/radishtrack/objects/client.py
@@ -27,7 +27,7 @@
     PlatformUnavailable,
     Value,
     VmRecord,
-    WatchAnswer,
+    WatchResponse,
     WriteAnswer,
     Written,
     parse_object,
@@ -202,7 +202,7 @@
         timeout_ms: float,
         *,
         priority: Priority = Priority.NORMAL,
-    ) -> WatchAnswer:
+    ) -> WatchResponse:
         """Return the changes of some kinds after a revision.
 
         Parameters
@@ -359,8 +359,8 @@
     return tuple(parse_object(item) for item in data["objects"])
 
 
-def _parse_watch(data: Any) -> WatchAnswer:
-    return WatchAnswer(int(data["revision"]), _parse_objects(data))
+def _parse_watch(data: Any) -> WatchResponse:
+    return WatchResponse(int(data["revision"]), _parse_objects(data))
 
 
 def _parse_vms(data: Any) -> tuple[VmRecord, ...]:
--- a/src/radishtrack/objects/records.py
+++ b/src/radishtrack/objects/records.py
@@ -79,7 +79,7 @@
 
 
 @attrs.define(frozen=True)
-class WatchAnswer:
+class WatchResponse:
     """Changes since the revision that the watch named.
 
     Parameters
--- a/src/radishtrack/objects/watch.py
+++ b/src/radishtrack/objects/watch.py
@@ -12,12 +12,12 @@
 from radishtrack.objects.records import (
     PlatformRefusal,
     PlatformUnavailable,
-    WatchAnswer,
+    WatchResponse,
 )
 
 DEFAULT_WATCH_MS: Final = 2000.0
 
-OnChange = Callable[[WatchAnswer], None]
+OnChange = Callable[[WatchResponse], None]
 OnContact = Callable[[bool], None]
 
 
--- a/src/radishtrack/platform/frontend.py
+++ b/src/radishtrack/platform/frontend.py
@@ -11,7 +11,7 @@
 from radishtrack.platform.lines import ConnectionEnded, LineConnection, encode_line
 from radishtrack.platform.wire import (
     WireError,
-    format_client_answer,
+    format_client_response,
     format_error,
     format_ready,
     parse_query,
@@ -114,7 +114,7 @@
         if line == "TERMINATE":
             return False
         answer = await session.handle(parse_query(line))
-        connection.write(encode_line(format_client_answer(answer)))
+        connection.write(encode_line(format_client_response(answer)))
         return not session.must_close
 
     async def _read_request(self, client: ClientConnection) -> str:
--- a/src/radishtrack/platform/member_link.py
+++ b/src/radishtrack/platform/member_link.py
@@ -13,7 +13,7 @@
 from radishtrack.platform.wire import (
     WireError,
     format_query,
-    parse_answer,
+    parse_member_response,
     parse_ready,
     parse_refusal,
 )
@@ -58,7 +58,9 @@
             self.connection.write(encode_line(format_query(statement, floor)))
             async with asyncio.timeout(timeout_ms / 1000):
                 lines = await self._read_answer()
-            return parse_answer(lines, has_report=isinstance(statement, REPORTING))
+            return parse_member_response(
+                lines, has_report=isinstance(statement, REPORTING)
+            )
         except TimeoutError as error:
             self.connection.abort()
             reason = f"no answer within {timeout_ms:.0f} ms"
--- a/src/radishtrack/platform/wire.py
+++ b/src/radishtrack/platform/wire.py
@@ -121,7 +121,7 @@
             return Unintelligible(f"unknown statement {words[0][:20]!r}")
 
 
-def format_client_answer(answer: ClientAnswer) -> str:
+def format_client_response(answer: ClientAnswer) -> str:
     """Return the lines that answer a client's statement."""
     lines = [f"DATAROW {row}" for row in answer.rows if answer.refusal is None]
     if answer.refusal is None:
@@ -197,7 +197,7 @@
     return _STATES_BY_LETTER[words[1]], parse_position(words[2])
 
 
-def parse_answer(lines: list[str], *, has_report: bool) -> MemberAnswer:
+def parse_member_response(lines: list[str], *, has_report: bool) -> MemberAnswer:
     """Return a member's answer from its lines, the last of which is `READY`.
 
     Raises
--- a/src/radishtrack/proxy/holder.py
+++ b/src/radishtrack/proxy/holder.py
@@ -8,7 +8,7 @@
 
 from radishtrack.backend.connection import MemberError
 from radishtrack.backend.database import DatabaseBackend
-from radishtrack.backend.journal import JournalEntry, make_entry
+from radishtrack.backend.journal import JournalEntry, make_journal_entry
 from radishtrack.backend.read import run_read
 from radishtrack.backend.transaction import (
     TRANSACTION_LOST_STEP,
@@ -206,7 +206,7 @@
         finally:
             transaction.is_busy = False
             transaction.last_used_ms = self.clock.now_ms()
-            if transaction.connection.in_doubt:
+            if transaction.connection.is_in_doubt:
                 await self._drop(key, transaction)
 
     async def _drop(self, key: SessionKey, transaction: Transaction) -> None:
@@ -246,7 +246,9 @@
     if not request.request_id:
         return None
     try:
-        return make_entry(request.organisation, request.request_id, request.statement)
+        return make_journal_entry(
+            request.organisation, request.request_id, request.statement
+        )
     except ValueError as error:
         raise make_invalid_option(str(error)) from error
 
--- a/src/radishtrack/proxy/node.py
+++ b/src/radishtrack/proxy/node.py
@@ -33,7 +33,7 @@
     PlatformUnavailable,
     VmRecord,
     VmState,
-    WatchAnswer,
+    WatchResponse,
 )
 from radishtrack.objects.watch import follow_objects
 from radishtrack.peer.messages import (
@@ -288,7 +288,7 @@
             contact_ms = self.platform.last_contact_ms or 0.0
             self.copies.contacts.record_platform_contact(contact_ms)
 
-    def _apply_objects(self, answer: WatchAnswer) -> None:
+    def _apply_objects(self, answer: WatchResponse) -> None:
         revoked: set[str] = set()
         for found in answer.objects:
             if found.kind == KEYS_KIND:
--- a/src/radishtrack/proxy/promoter.py
+++ b/src/radishtrack/proxy/promoter.py
@@ -163,7 +163,7 @@
         return [
             status
             for member, status in self.monitor.latest.items()
-            if now_ms - self.monitor.answered_ms(member) <= SUSPICION_MS
+            if now_ms - self.monitor.answered_poll_sent_ms(member) <= SUSPICION_MS
         ]
 
     async def _attempt(self, first: Message) -> None:
--- a/src/radishtrack/proxy/slots.py
+++ b/src/radishtrack/proxy/slots.py
@@ -85,7 +85,7 @@
     def is_behind(self, database: str) -> bool:
         """Tell whether a member belongs to a later term than the known record."""
         backend = self.holder.databases.get(database)
-        return backend is not None and backend.is_replaced(backend.group)
+        return backend is not None and backend.has_later_term(backend.group)
 
     def list_voters(self, database: str) -> tuple[str, ...]:
         """Return the voters of a database that is held here."""
--- a/src/radishtrack/proxy/votes.py
+++ b/src/radishtrack/proxy/votes.py
@@ -120,7 +120,7 @@
     async def _probe(self, database: str, member: str) -> bool:
         backend = self.slots.holder.databases.get(database)
         if backend is not None and member in backend.monitor.latest:
-            age_ms = self.clock.now_ms() - backend.monitor.answered_ms(member)
+            age_ms = self.clock.now_ms() - backend.monitor.answered_poll_sent_ms(member)
             if age_ms <= RECENT_ANSWER_MS:
                 return True
         record = self.slots.records.get(database)
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -14,7 +14,7 @@
     open_connection,
 )
 from radishtrack.backend.endpoint import MemberEndpoint
-from radishtrack.backend.journal import make_entry, run_journaled
+from radishtrack.backend.journal import make_journal_entry, run_journaled
 from radishtrack.errors import ErrorCode, RequestError
 from radishtrack_standins.member import MemberSettings, RunningMember, start_member
 
@@ -46,7 +46,7 @@
     member: RunningMember,
 ) -> None:
     connection = await connect(member)
-    entry = make_entry("o", "r-1", INSERT)
+    entry = make_journal_entry("o", "r-1", INSERT)
     first = await run_journaled(connection, entry, INSERT)
     again = await run_journaled(connection, entry, INSERT)
     assert (first.is_repeat, again.is_repeat) == (False, True)
@@ -58,10 +58,10 @@
 
 async def test_an_identifier_belongs_to_one_statement(member: RunningMember) -> None:
     connection = await connect(member)
-    await run_journaled(connection, make_entry("o", "r-1", INSERT), INSERT)
+    await run_journaled(connection, make_journal_entry("o", "r-1", INSERT), INSERT)
     other = INSERT.replace("'a'", "'b'")
     with pytest.raises(RequestError) as caught:
-        await run_journaled(connection, make_entry("o", "r-1", other), other)
+        await run_journaled(connection, make_journal_entry("o", "r-1", other), other)
     assert caught.value.failure.code == ErrorCode.INVALID_OPTION
     assert await count_rows(connection) == 1
     connection.close()
@@ -72,7 +72,7 @@
 ) -> None:
     connection = await connect(member)
     for organisation in ("o", "p"):
-        entry = make_entry(organisation, "r-1", INSERT)
+        entry = make_journal_entry(organisation, "r-1", INSERT)
         assert not (await run_journaled(connection, entry, INSERT)).is_repeat
     assert await count_rows(connection) == 2
     connection.close()
@@ -82,7 +82,7 @@
     """An entry of a statement that did not run would hide its next attempt."""
     connection = await connect(member)
     bad = "INSERT INTO receipts (id, name) VALUES (1, 'a'), (1, 'b')"
-    entry = make_entry("o", "r-1", bad)
+    entry = make_journal_entry("o", "r-1", bad)
     for _ in range(2):
         with pytest.raises(MemberError):
             await run_journaled(connection, entry, bad)
@@ -93,7 +93,7 @@
 
 async def test_simultaneous_repeats_run_once(member: RunningMember) -> None:
     connections = [await connect(member) for _ in range(4)]
-    entry = make_entry("o", "r-1", INSERT)
+    entry = make_journal_entry("o", "r-1", INSERT)
     answers = await asyncio.gather(
         *(run_journaled(connection, entry, INSERT) for connection in connections),
         return_exceptions=True,
@@ -112,4 +112,4 @@
 @pytest.mark.parametrize("name", ["a'b", "", "a b", "x" * 200])
 def test_names_that_need_quoting_are_refused(name: str) -> None:
     with pytest.raises(ValueError, match="journal"):
-        make_entry("o", name, INSERT)
+        make_journal_entry("o", name, INSERT)
--- a/tests/test_platform_client.py
+++ b/tests/test_platform_client.py
@@ -24,7 +24,7 @@
     PlatformUnavailable,
     VmRecord,
     VmState,
-    WatchAnswer,
+    WatchResponse,
     WriteAnswer,
     Written,
 )
@@ -65,12 +65,12 @@
     assert await client.get("groups", "a/b") == stored
     assert await client.list_objects("groups") == (stored,)
     assert await client.put("groups", "a/b", OTHER, 0) == Conflict(version)
-    assert await client.watch(["groups"], 0, 1000) == WatchAnswer(version, (stored,))
+    assert await client.watch(["groups"], 0, 1000) == WatchResponse(version, (stored,))
     assert await client.delete("groups", "a/b", version + 5) == Conflict(version)
     deleted = await client.delete("groups", "a/b", version)
     answer = await client.watch(["keys", "groups"], version, 1000)
     gone = PlatformObject("groups", "a/b", deleted.version, None)
-    assert answer == WatchAnswer(deleted.version, (gone,))
+    assert answer == WatchResponse(deleted.version, (gone,))
     vm = VmRecord("v1", "oslo-a", "norge-ost", VmState.LEAVING, "h:1")
     await client.announce(vm)
     assert await client.vms() == (vm,)
@@ -243,7 +243,7 @@
 async def test_follow_objects_reports_changes_and_contact_through_an_outage(
     platform: RunningPlatform, client: PlatformClient
 ) -> None:
-    answers: list[WatchAnswer] = []
+    answers: list[WatchResponse] = []
     contacts: list[bool] = []
     following = asyncio.create_task(
         follow_objects(
--- a/tests/test_pooler_wire.py
+++ b/tests/test_pooler_wire.py
@@ -15,9 +15,9 @@
 from radishtrack.platform.settings import SettingsError, parse_settings
 from radishtrack.platform.wire import (
     WireError,
-    format_client_answer,
+    format_client_response,
     format_query,
-    parse_answer,
+    parse_member_response,
     parse_query,
     parse_report,
     parse_startup,
@@ -103,12 +103,12 @@
 def test_answers_that_are_not_whole_are_not_answers(lines: list[str]) -> None:
     """A cut or crossed answer must not be taken for a result."""
     with pytest.raises(WireError):
-        parse_answer(lines, has_report=False)
+        parse_member_response(lines, has_report=False)
 
 
 def test_an_unknown_code_is_no_promise() -> None:
     """Codes that say that nothing ran are a promise to the client."""
-    answer = parse_answer(["ERROR STRANGE x", "READY I -"], has_report=False)
+    answer = parse_member_response(["ERROR STRANGE x", "READY I -"], has_report=False)
     assert answer.refusal is Refusal.EXECUTION_FAILED
 
 
@@ -126,7 +126,7 @@
     answer = ClientAnswer(
         TransactionState.IDLE, refusal=Refusal.BUSY, detail="a\r\nREADY I -"
     )
-    assert format_client_answer(answer) == "ERROR BUSY a READY I -\r\nREADY I -"
+    assert format_client_response(answer) == "ERROR BUSY a READY I -\r\nREADY I -"
 
 
 def test_the_configuration_is_decoded_once() -> None:
