--- a/src/radishtrack/backend/__init__.py
+++ b/src/radishtrack/backend/__init__.py
@@ -1,1 +1,1 @@
-"""Members of database groups: statements, pool, execution and monitoring."""
+"""Members of database groups: SQL, connection pool, execution and monitoring."""
--- a/src/radishtrack/backend/_waiters.py
+++ b/src/radishtrack/backend/_waiters.py
@@ -1,4 +1,4 @@
-"""Requests that wait for answers of a group's members."""
+"""Requests that wait for status responses of a group's members."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 @attrs.define(eq=False)
 class CommitWaiter:
-    """A request that waits for the outcome of a commit."""
+    """A request that waits for `Monitor.wait_confirmed`."""
 
     position: Position
     term: int
     sequence_before: int
-    asked_ms: float
+    requested_ms: float
     result: asyncio.Future[CommitOutcome]
 
 
 @attrs.define(eq=False)
 class RoundWaiter:
-    """A round whose polls are under way."""
+    """A round of polls that has not ended."""
 
     started_ms: float
     result: asyncio.Future[StatusRound]
--- a/src/radishtrack/backend/admin_connection.py
+++ b/src/radishtrack/backend/admin_connection.py
@@ -21,19 +21,19 @@
 """A packet's length in three bytes and its sequence number."""
 
 MEMBER_ERRORS: Final = (OSError, EOFError, ValueError, pymysql.err.Error)
-"""What a connection to a member can raise; a timeout is an `OSError`."""
+"""Exceptions of a connection to a member; `TimeoutError` is an `OSError`."""
 
 
 @attrs.define(frozen=True, eq=False)
 class AdminConnection:
-    """One open connection; closed and replaced after any error.
+    """An open connection; the caller closes it after any error.
 
     Parameters
     ----------
     run : callable
         Runs a statement that returns a status row.
     close : callable
-        Closes the socket at once.
+        Closes the socket immediately.
     """
 
     run: Callable[[str], Awaitable[MemberStatus]]
@@ -45,10 +45,10 @@
 
 
 async def read_row(connection: Any, sql: str) -> tuple[str | None, ...]:
-    """Run a query that returns one row of text, without describing its columns.
+    """Run a query that returns one row of text, without parsing column definitions.
 
-    Parsing the descriptions of a status row's columns costs more than all the rest of
-    a poll. The caller closes the connection after any error.
+    Parsing those of a status row costs more than the rest of a poll. The caller closes
+    the connection after any error.
 
     Parameters
     ----------
@@ -65,34 +65,34 @@
     Raises
     ------
     pymysql.err.InternalError
-        If the answer is not one result of one row.
+        If the response is not one result of one row.
     """
     await connection._execute_command(COMMAND.COM_QUERY, sql)
     packet = await connection._read_packet()
     if packet.is_ok_packet():
-        raise pymysql.err.InternalError("no result")
+        raise pymysql.err.InternalError("query returned no result set")
     column_count = packet.read_length_encoded_integer()
     for _ in range(column_count):
         await _skip_packet(connection)
     if not (await connection._read_packet()).is_eof_packet():
-        raise pymysql.err.InternalError("unexpected column")
+        raise pymysql.err.InternalError("expected EOF after the column definitions")
     row = await connection._read_packet()
     if row.is_eof_packet():
-        raise pymysql.err.InternalError("no row")
+        raise pymysql.err.InternalError("query returned no row")
     values = tuple(
         None if value is None else value.decode()
         for value in (row.read_length_coded_string() for _ in range(column_count))
     )
     end = await connection._read_packet()
     if not end.is_eof_packet() or EOFPacketWrapper(end).has_next:
-        raise pymysql.err.InternalError("more than one row")
+        raise pymysql.err.InternalError("query returned more than one row")
     return values
 
 
 async def _skip_packet(connection: Any) -> None:
     header = await connection._read_bytes(HEADER_BYTES)
     if header[3] != connection._next_seq_id:
-        raise pymysql.err.InternalError("packet sequence number wrong")
+        raise pymysql.err.InternalError("wrong packet sequence number")
     connection._next_seq_id = (header[3] + 1) % 256
     await connection._read_bytes(int.from_bytes(header[:3], "little"))
 
@@ -108,12 +108,12 @@
     password : str
         Password of `user` on every member.
     user : str, optional
-        A user with the right to run the group statements.
+        A user with permission to run the group statements.
 
     Returns
     -------
     callable
-        Takes a `MemberEndpoint`; the caller limits its time.
+        Takes a `MemberEndpoint`; has no timeout of its own.
     """
 
     async def connect(endpoint: MemberEndpoint) -> AdminConnection:
@@ -122,7 +122,7 @@
             port=endpoint.admin_port,
             user=user,
             password=password,
-            # Saves the round trip that would set the mode explicitly.
+            # Saves the round trip that sets the mode.
             autocommit=None,
         )
 
@@ -133,7 +133,7 @@
                 await cursor.execute(sql)
                 row = await cursor.fetchone()
             if row is None:
-                raise ValueError(f"{endpoint.member} returned no status")
+                raise ValueError(f"{endpoint.member} returned no status row")
             return parse_status(row)
 
         return AdminConnection(run, connection.close)
--- a/src/radishtrack/backend/connection.py
+++ b/src/radishtrack/backend/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a member, whose state after each step is known."""
+"""Connection to a member for client statements."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
     from radishtrack.backend.endpoint import MemberEndpoint
     from radishtrack.group.status import MemberStatus
 
-CLIENT_ERRORS: Final = range(2000, 3000)
-"""Errors of the client library itself: the member's answer is missing."""
+CLIENT_ERROR_CODES: Final = range(2000, 3000)
+"""Error codes of the client library: no response of the member arrived."""
 
 BINARY_FLAG: Final = 0x100
-"""Added to the type code of a column that holds bytes."""
+"""Flag in the type code of a column that holds bytes."""
 
 BINARY_CHARSET: Final = 63
 STRING_TYPES: Final = frozenset(
@@ -49,13 +49,13 @@
         self.code = code
 
 
-class AnswerLost(Exception):
-    """Raised when a statement was sent and its answer didn't arrive."""
+class ResponseLost(Exception):
+    """Raised when a statement was sent and its response did not arrive."""
 
 
 @attrs.define(frozen=True)
 class MemberError(Exception):
-    """An error packet of the member: a definite answer."""
+    """An error packet of the member."""
 
     code: int
     message: str
@@ -65,8 +65,8 @@
 
 
 @attrs.define(frozen=True)
-class StatementAnswer:
-    """The member's answer to a statement without rows."""
+class StatementResult:
+    """Result of a statement without rows."""
 
     affected_rows: int
     insert_id: int
@@ -74,20 +74,26 @@
 
 @attrs.define
 class MemberConnection:
-    """A connection that is closed as soon as its state is in doubt.
+    """A connection that is closed after a lost or incomplete response.
 
     Parameters
     ----------
     endpoint : MemberEndpoint
-        Where it leads.
+        Address of the member.
     raw : aiomysql.Connection
         The library's connection.
+    is_in_doubt : bool
+        Whether a response is incomplete.
+    is_dirty : bool
+        Whether the session has state that another user must not see.
+    last_used_ms : float
+        Time of the last use, on the pool's clock, in milliseconds.
     """
 
     endpoint: MemberEndpoint
     raw: Any
     is_in_doubt: bool = False
-    dirty: bool = False
+    is_dirty: bool = False
     last_used_ms: float = 0.0
 
     @property
@@ -100,64 +106,64 @@
         """Whether another session may use the connection."""
         return not (
             self.is_in_doubt
-            or self.dirty
+            or self.is_dirty
             or self.raw.closed
             or self.raw.get_transaction_status()
             or self.raw._reader.at_eof()
         )
 
-    async def run(self, statement: str) -> StatementAnswer:
-        """Run a statement and discard rows, if any.
+    async def run(self, statement: str) -> StatementResult:
+        """Run a statement and discard its rows, if any.
 
         Raises
         ------
-        AnswerLost
-            If the answer didn't arrive.
+        ResponseLost
+            If the response did not arrive.
         MemberError
-            If the member answered with an error.
+            If the member responded with an error.
         """
-        with self._step():
+        with self._exchange():
             async with self.raw.cursor() as cursor:
                 affected = await cursor.execute(statement)
-                return StatementAnswer(affected, cursor.lastrowid or 0)
+                return StatementResult(affected, cursor.lastrowid or 0)
 
     async def fetch(self, statement: str) -> tuple[tuple[Any, ...], ...]:
         """Run a statement and return all its rows; errors as in `run`."""
-        with self._step():
+        with self._exchange():
             async with self.raw.cursor() as cursor:
                 await cursor.execute(statement)
                 return tuple(await cursor.fetchall())
 
     async def read_status(self) -> MemberStatus:
         """Return the member's status; errors as in `run`."""
-        with self._step():
+        with self._exchange():
             return parse_status(await read_row(self.raw, STATUS_SQL))
 
     async def stream(
         self,
         statement: str,
-        first_wait_s: float | None = None,
-        part_wait_s: float | None = None,
+        head_timeout_s: float | None = None,
+        chunk_timeout_s: float | None = None,
     ) -> AsyncIterator[StreamPart]:
         """Run a statement and yield its head, then chunks of rows.
 
-        A statement without result columns yields one `StatementAnswer`. Errors as in
+        A statement without result columns yields one `StatementResult`. Errors as in
         `run`, at any point.
 
         Parameters
         ----------
         statement : str
             The statement.
-        first_wait_s, part_wait_s : float, optional
-            Time for the head and for each chunk, in seconds; a member that does not
-            answer in time fails the statement as `AnswerLost`.
+        head_timeout_s, chunk_timeout_s : float, optional
+            Longest wait for the head and for each chunk, in seconds; after it the
+            statement fails with `ResponseLost`.
         """
-        with self._step():
-            with self._limit_wait(first_wait_s):
+        with self._exchange():
+            with self._limit_time(head_timeout_s):
                 await self.raw.query(statement, unbuffered=True)
             result = self.raw._result
             if result.description is None:
-                yield StatementAnswer(result.affected_rows, result.insert_id or 0)
+                yield StatementResult(result.affected_rows, result.insert_id or 0)
                 return
             yield StreamHead(
                 tuple(column[0] for column in result.description),
@@ -166,7 +172,7 @@
             is_complete = False
             while not is_complete:
                 rows: list[tuple[str | bytes | None, ...]] = []
-                with self._limit_wait(part_wait_s):
+                with self._limit_time(chunk_timeout_s):
                     while len(rows) < ROWS_PER_CHUNK:
                         row = await result._read_rowdata_packet_unbuffered()
                         if row is None:
@@ -177,52 +183,53 @@
                     yield StreamRows(tuple(rows))
 
     def close(self) -> None:
-        """Close the socket at once."""
+        """Close the socket immediately."""
         self.is_in_doubt = True
         self.raw.close()
 
     @contextlib.contextmanager
-    def _limit_wait(self, wait_s: float | None) -> Iterator[None]:
-        """Break the connection off if the member lets the block wait too long.
+    def _limit_time(self, timeout_s: float | None) -> Iterator[None]:
+        """Abort the connection if the block takes too long.
 
-        A timer costs less than `asyncio.timeout`, and a connection whose answer is
-        late is closed in any case.
+        A timer costs less than `asyncio.timeout`, and a connection with a late response
+        is closed in any case.
         """
-        if wait_s is None:
+        if timeout_s is None:
             yield
             return
-        timer = asyncio.get_running_loop().call_later(wait_s, self._abort)
+        timer = asyncio.get_running_loop().call_later(timeout_s, self._abort)
         try:
             yield
         finally:
             timer.cancel()
 
     def _abort(self) -> None:
-        # Stays set if the answer arrives in the same turn of the event loop.
-        self.dirty = True
+        # Prevents reuse even if the response arrives in this iteration of the event
+        # loop.
+        self.is_dirty = True
         self.raw._writer.transport.abort()
 
     @contextlib.contextmanager
-    def _step(self) -> Iterator[None]:
-        """Keep the connection in doubt until the answer is complete.
+    def _exchange(self) -> Iterator[None]:
+        """Mark the connection as in doubt until the response is complete.
 
-        A cancelled step leaves the answer on the wire, so the connection is closed: a
-        later user would take it for its own.
+        If the block is cancelled, the response is still to come. The connection is
+        closed, since its next user would read that response as its own.
         """
         self.is_in_doubt = True
         try:
             yield
         except MySQLError as error:
             code = error.args[0] if error.args else 0
-            if isinstance(code, int) and code and code not in CLIENT_ERRORS:
+            if isinstance(code, int) and code and code not in CLIENT_ERROR_CODES:
                 self.is_in_doubt = False
                 raise MemberError(code, str(error.args[-1])) from error
             self.close()
-            raise AnswerLost(f"{self.member}: {error}") from error
+            raise ResponseLost(f"{self.member}: {error}") from error
         except (OSError, EOFError, AttributeError) as error:
             # The library raises AttributeError when its socket is already closed.
             self.close()
-            raise AnswerLost(f"{self.member}: {error!r}") from error
+            raise ResponseLost(f"{self.member}: {error!r}") from error
         except BaseException:
             self.close()
             raise
@@ -251,7 +258,7 @@
     rows: tuple[tuple[str | bytes | None, ...], ...]
 
 
-StreamPart = StatementAnswer | StreamHead | StreamRows
+StreamPart = StatementResult | StreamHead | StreamRows
 
 
 async def open_connection(
@@ -262,11 +269,11 @@
     Parameters
     ----------
     endpoint : MemberEndpoint
-        Where the member listens.
+        Address of the member.
     user, password : str
-        The proxy's own login; never a client's.
+        The proxy's own credentials, never a client's.
     administrative : bool
-        Use the administrative interface, which has no connection limit.
+        Whether to use the administrative interface, which has no connection limit.
 
     Raises
     ------
@@ -274,8 +281,8 @@
         If no connection could be made.
     """
     try:
-        # The library's own limit covers only the TCP connection, not the handshake,
-        # which a paused member never answers.
+        # The library's own timeout covers only the TCP connection, not the handshake,
+        # to which a paused member never responds.
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             raw = await aiomysql.connect(
                 host=endpoint.host,
--- a/src/radishtrack/backend/database.py
+++ b/src/radishtrack/backend/database.py
@@ -1,4 +1,4 @@
-"""Everything that a holder keeps for one database."""
+"""Resources that a holder keeps for one database."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from radishtrack.errors import make_not_run
 from radishtrack.group.status import Group, MemberStatus
 
-FRESH_STATUS_MS: Final = 1_500.0
-"""A member whose last answer is older gets no reads that rely on it."""
+MAX_STATUS_AGE_MS: Final = 1_500.0
+"""Age limit of the statuses by which a member is chosen for a read."""
 
 RETRY_PAUSE_MS: Final = 25.0
 
@@ -28,7 +28,7 @@
 
 @attrs.define
 class DatabaseBackend:
-    """One database as a holder sees it.
+    """Monitor, connections and permits of one database on a holder.
 
     Parameters
     ----------
@@ -43,13 +43,13 @@
     gate : Gate
         Permits for the connections, shared fairly among organisations.
     retries : RetryBudget
-        Limits repeated work.
+        Limits retries.
     clock : Clock
-        Time of deadlines.
+        Clock of deadlines.
     leaving : callable
         Returns the members that get no new work.
     observe_wait : callable
-        Takes organisation and the wait for a permit, in milliseconds.
+        Called with the organisation and its wait for a permit in milliseconds.
     """
 
     name: str
@@ -62,20 +62,20 @@
     leaving: Callable[[], frozenset[str]]
     observe_wait: ObserveWait
     active: int = 0
-    """Requests that are not finished; a commit waits without a connection."""
+    """Requests in progress, including commits that wait without a connection."""
 
     @property
     def group(self) -> Group:
-        """The group as last recorded by the platform."""
+        """The group's latest record."""
         return self.monitor.group
 
     def remaining_s(self, deadline_ms: float) -> float:
         """Return the seconds left until a deadline, at least 0."""
         return max(0.0, (deadline_ms - self.clock.now_ms()) / 1000)
 
-    def list_answering(self) -> dict[str, MemberStatus]:
-        """Return the last status of each member that answered recently."""
-        oldest_ms = self.clock.now_ms() - FRESH_STATUS_MS
+    def list_recent_statuses(self) -> dict[str, MemberStatus]:
+        """Return the statuses that are at most `MAX_STATUS_AGE_MS` old, by member."""
+        oldest_ms = self.clock.now_ms() - MAX_STATUS_AGE_MS
         return {
             member: status
             for member, status in self.monitor.latest.items()
@@ -83,7 +83,7 @@
         }
 
     def has_later_term(self, group: Group) -> bool:
-        """Tell whether a member already belongs to a later term than the record."""
+        """Tell whether a member reports a later term than the record."""
         latest = self.monitor.latest.values()
         return any(status.term > group.term for status in latest)
 
@@ -104,13 +104,13 @@
         ConnectFailed
             If no connection could be made.
         """
-        asked_ms = self.clock.now_ms()
+        requested_ms = self.clock.now_ms()
         async with self.gate.connection(organisation, deadline_ms):
-            self.observe_wait(organisation, self.clock.now_ms() - asked_ms)
+            self.observe_wait(organisation, self.clock.now_ms() - requested_ms)
             async with self.pool.connection(member) as connection:
                 yield connection
 
-    async def pause(self, step: str, deadline_ms: float) -> None:
+    async def wait_before_retry(self, step: str, deadline_ms: float) -> None:
         """Wait before another attempt.
 
         Raises
--- a/src/radishtrack/backend/endpoint.py
+++ b/src/radishtrack/backend/endpoint.py
@@ -1,4 +1,4 @@
-"""Where a member of a database group is reached."""
+"""Addresses of a member of a database group."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
     host : str
         Host name or address.
     port : int
-        Port for client work; counts against the connection limit.
+        Port for client statements; subject to the connection limit.
     admin_port : int
-        Port of MySQL's administrative connection interface.
+        Port of MySQL's administrative interface.
     zone : str
         Availability zone of the member.
     """
--- a/src/radishtrack/backend/journal.py
+++ b/src/radishtrack/backend/journal.py
@@ -1,7 +1,7 @@
 """The request journal: a row for each request that must run at most once.
 
-The row commits with the change itself, so that a repeated request finds it whichever
-proxy it comes through and whichever member is the primary by then.
+The row is committed in the same transaction as the change. A repeated request finds it
+through any proxy, and after a promotion on the new primary.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from radishtrack.backend.connection import (
     MemberConnection,
     MemberError,
-    StatementAnswer,
+    StatementResult,
 )
 from radishtrack.backend.member_sql import DUPLICATE_KEY_ERROR, NO_SUCH_TABLE_ERROR
 from radishtrack.errors import ErrorCode, Failure, Outcome, RequestError
@@ -33,7 +33,7 @@
 
 @attrs.define(frozen=True)
 class JournalEntry:
-    """Identifies one request.
+    """Key of a request in the journal, with a digest of its statement.
 
     Parameters
     ----------
@@ -51,7 +51,7 @@
 
     @property
     def condition(self) -> str:
-        """SQL condition that selects the row."""
+        """SQL condition that selects the entry's row."""
         return (
             f"organisation = '{self.organisation}' AND request_id = '{self.request_id}'"
         )
@@ -65,32 +65,33 @@
     Raises
     ------
     ValueError
-        If a name contains characters that would need quoting in SQL.
+        If the organisation or the request identifier is empty, longer than 128
+        characters, or contains characters that would need quoting in SQL.
     """
     for text in (organisation, request_id):
         if not _SAFE_TEXT.fullmatch(text):
-            raise ValueError(f"{text!r} can't be used in the journal")
+            raise ValueError(f"{text!r} is not a valid name in the journal")
     digest = hashlib.sha256(statement.encode()).hexdigest()
     return JournalEntry(organisation, request_id, digest)
 
 
 @attrs.define(frozen=True)
-class JournaledAnswer:
-    """Answer of a journaled request, and whether an earlier run gave it."""
+class JournaledResult:
+    """Result of a journaled request and whether it is that of an earlier run."""
 
-    answer: StatementAnswer
+    result: StatementResult
     is_repeat: bool
 
 
 async def run_journaled(
     connection: MemberConnection, entry: JournalEntry, statement: str
-) -> JournaledAnswer:
-    """Run a statement once in a transaction with its journal row.
+) -> JournaledResult:
+    """Run a statement and insert its journal row in one transaction.
 
     Returns
     -------
-    JournaledAnswer
-        Of this run, or of the earlier run under the same identifier.
+    JournaledResult
+        Of this run, or of the earlier run with the same identifier.
 
     Raises
     ------
@@ -98,30 +99,30 @@
         If the identifier was used for another statement.
     MemberError
         The member's error; the transaction was rolled back.
-    AnswerLost
+    ResponseLost
         If the outcome is unknown; calling again with the same entry resolves it.
     """
     await connection.run("BEGIN")
     try:
-        recorded = await _insert_entry(connection, entry)
-        if recorded is not None:
+        earlier_result = await _insert_entry(connection, entry)
+        if earlier_result is not None:
             await connection.run("ROLLBACK")
-            return JournaledAnswer(recorded, True)
-        answer = await connection.run(statement)
+            return JournaledResult(earlier_result, True)
+        result = await connection.run(statement)
         await connection.run(
-            f"UPDATE {JOURNAL_TABLE} SET affected_rows = {answer.affected_rows:d}, "
-            f"insert_id = {answer.insert_id:d} WHERE {entry.condition}"
+            f"UPDATE {JOURNAL_TABLE} SET affected_rows = {result.affected_rows:d}, "
+            f"insert_id = {result.insert_id:d} WHERE {entry.condition}"
         )
         await connection.run("COMMIT")
     except (MemberError, RequestError):
         await connection.run("ROLLBACK")
         raise
-    return JournaledAnswer(answer, False)
+    return JournaledResult(result, False)
 
 
 async def _insert_entry(
     connection: MemberConnection, entry: JournalEntry
-) -> StatementAnswer | None:
+) -> StatementResult | None:
     try:
         await connection.run(
             f"INSERT INTO {JOURNAL_TABLE} "
@@ -142,7 +143,7 @@
 
 async def _read_entry(
     connection: MemberConnection, entry: JournalEntry
-) -> StatementAnswer:
+) -> StatementResult:
     rows = await connection.fetch(
         f"SELECT digest, affected_rows, insert_id FROM {JOURNAL_TABLE} "
         f"WHERE {entry.condition}"
@@ -158,4 +159,4 @@
                 f"request_id {entry.request_id} was used for another statement",
             )
         )
-    return StatementAnswer(int(affected_rows), int(insert_id))
+    return StatementResult(int(affected_rows), int(insert_id))
--- a/src/radishtrack/backend/member_commands.py
+++ b/src/radishtrack/backend/member_commands.py
@@ -1,4 +1,4 @@
-"""Fence, promote and follow, each on a connection of its own."""
+"""Fence, promote and follow commands, each on its own connection."""
 
 from __future__ import annotations
 
@@ -34,18 +34,18 @@
 from radishtrack.group.status import MemberStatus, Role
 
 COMMAND_TIMEOUT_MS: Final = 1_000.0
-"""Time for one command; longer than a step of a promotion, which asks again."""
+"""Timeout of a command; longer than a step of a promotion, which is retried."""
 
 CLIENT_ERROR_CODES: Final = range(2000, 3000)
-"""Codes that MySQL clients use for failures of the connection."""
+"""Error codes of MySQL client libraries for failures of the connection."""
 
 
 class RefusedError(Exception):
-    """Raised when a member answers a command with an error."""
+    """Raised when a member responds to a command with an error."""
 
 
 class UnreachableError(Exception):
-    """Raised when a member does not answer; it may have carried out the command."""
+    """Raised when a member does not respond; it may have executed the command."""
 
 
 @attrs.define(frozen=True)
@@ -66,16 +66,16 @@
         Parameters
         ----------
         member : str
-            The member.
+            Name of the member.
         record : GroupRecord
-            The record in force.
+            The current record.
         term : int
             The term to fence for.
 
         Returns
         -------
         MemberStatus
-            The status after the fence; its position no longer changes.
+            The status after fencing; its position no longer changes.
 
         Raises
         ------
@@ -88,7 +88,7 @@
         return status
 
     async def follow(self, member: str, record: GroupRecord) -> MemberStatus:
-        """Make a member follow the recorded primary.
+        """Make a member replicate from the recorded primary.
 
         Raises
         ------
@@ -151,7 +151,7 @@
 
 
 def is_refusal(error: BaseException) -> bool:
-    """Tell whether an error is a member's answer rather than a lost connection."""
+    """Tell whether an error is a member's response, not a connection failure."""
     if not isinstance(error, pymysql.err.MySQLError) or not error.args:
         return False
     code = error.args[0]
--- a/src/radishtrack/backend/member_sql.py
+++ b/src/radishtrack/backend/member_sql.py
@@ -1,4 +1,4 @@
-"""The only module that knows the group statements and error codes of a member."""
+"""Group statements, status rows and error codes of members, kept only here."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 READ_ONLY_ERROR: Final = 1290
 """The member is a replica, or a primary fenced for a higher term."""
 STALE_TERM_ERROR: Final = 1644
-"""A group statement named a lower term than the member was fenced for."""
+"""A group statement with a lower term than the member is fenced for."""
 
 STATUS_SQL: Final = (
     "SELECT member, term, fenced_term, role, position_term, position_sequence"
@@ -25,7 +25,7 @@
 
 
 def fence_sql(term: int) -> str:
-    """Return the statement that ends all terms below `term` on a member."""
+    """Return the statement that fences a member against all terms below `term`."""
     return f"CALL sys.group_fence({term:d})"
 
 
@@ -44,8 +44,8 @@
     host, port : str, int
         Address of the term's primary.
     start_sequence : int
-        Length of the log at which the term began; the member discards everything
-        of lower terms beyond it.
+        Sequence at which the term began; the member discards log entries of lower
+        terms beyond it.
 
     Raises
     ------
@@ -63,7 +63,7 @@
     Raises
     ------
     ValueError
-        If the row has another shape or an unknown role.
+        If the row has another number of fields or an unknown role.
     """
     member, term, fenced_term, role, position_term, position_sequence = row
     return MemberStatus(
--- a/src/radishtrack/backend/monitor.py
+++ b/src/radishtrack/backend/monitor.py
@@ -1,4 +1,4 @@
-"""Polls the members of a group and tells waiting requests what the answers prove."""
+"""Polls the members of a group and resolves requests that wait for their status."""
 
 from __future__ import annotations
 
@@ -29,26 +29,26 @@
 from radishtrack.session.position import Position
 
 ROUND_TIMEOUT_MS: Final = 100.0
-"""Time that a round waits for members that are not suspected."""
+"""Longest wait of a round for members that are not suspected."""
 
 PRIMARY_POLL_DELAY_MS: Final = 10.0
-"""Time that a round waits for all replicas before it polls the primary too."""
+"""Time after which a round without all replicas polls the primary too."""
 
 CONFIRMATION_INTERVAL_MS: Final = 5.0
-"""Time between two polls of a replica while commits wait for confirmation."""
+"""Interval of polls to a replica while commits wait for confirmation."""
 
 MINIMUM_INTERVAL_MS: Final = 1.0
-"""Shortest time between two polls of a member; limits the cost of many rounds."""
+"""Shortest interval of polls to a member; limits the cost of many rounds."""
 
 SAMPLE_WINDOW_MS: Final = 2 * POLL_INTERVAL_MS
-"""Age of the oldest answer that counts for a freshness sample."""
+"""Age limit of the statuses in a freshness sample."""
 
 POLL_TIMEOUT_MS: Final = 1_000.0
-"""Time after which an unanswered poll is cancelled and its connection closed."""
+"""Time after which a poll without a response ends and its connection is closed."""
 
 
 class Monitor:
-    """Status of one group's members; see `make_monitor`."""
+    """Polls one group's members; construct it with `make_monitor`."""
 
     def __init__(
         self,
@@ -65,30 +65,30 @@
         self.suspicion = Suspicion()
         self.freshness: FreshnessSamples = make_freshness_samples()
         self.tasks: dict[str, asyncio.Task[None]] = {}
-        self.wakes: dict[str, asyncio.Event] = {}
+        self.wake_events: dict[str, asyncio.Event] = {}
         self.commit_waiters: set[CommitWaiter] = set()
         self.round_waiters: set[RoundWaiter] = set()
-        self.next_started: asyncio.Future[StatusRound] | None = None
+        self.scheduled_round: asyncio.Future[StatusRound] | None = None
         self.unreachable: set[str] = set()
         self.is_running = False
 
     @property
     def latest(self) -> dict[str, MemberStatus]:
-        """The last status of each member that ever answered."""
+        """The last status of each member that has ever responded."""
         return self.board.latest
 
     def answered_poll_sent_ms(self, member: str) -> float:
-        """Return when the poll behind `latest` was sent; -inf without an answer."""
+        """Return when the poll behind `latest` was sent; -inf without a response."""
         polled = self.board.polled.get(member)
         return -math.inf if polled is None else polled.sent_ms
 
     def start(self) -> None:
         """Start one polling task for each member."""
         self.is_running = True
-        self._match_tasks()
+        self._start_missing_polls()
 
     async def stop(self) -> None:
-        """Cancel all polls; their connections are closed."""
+        """Cancel all polls and close their connections."""
         self.is_running = False
         tasks = tuple(self.tasks.values())
         self.tasks.clear()
@@ -99,38 +99,38 @@
     def update_group(
         self, group: Group, endpoints: Mapping[str, MemberEndpoint] | None = None
     ) -> None:
-        """Use a newer record; an older version is ignored.
+        """Replace the group's record; older versions are ignored.
 
         Parameters
         ----------
         group : Group
             The record.
         endpoints : mapping of str to MemberEndpoint, optional
-            Addresses of its members, if they changed.
+            Addresses of the members, if they changed.
         """
         if group.version < self.group.version or group.term < self.group.term:
             return
         if group.term > self.group.term:
-            # The new primary gets the full time to be installed.
+            # Gives the new primary the full suspicion time to be installed.
             self.suspicion.reset(group.primary, self.clock.now_ms())
         self.group = group
         if endpoints is not None:
             self._replace_endpoints(endpoints)
         if self.is_running:
-            self._match_tasks()
+            self._start_missing_polls()
         for waiter in tuple(self.commit_waiters):
             self._settle_commit(waiter)
 
     def is_suspected(self, member: str) -> bool:
-        """Tell whether the member gave no good answer for `SUSPICION_MS`."""
+        """Tell whether the member is suspected to have failed; see `Suspicion`."""
         return self.suspicion.is_suspected(member, self.clock.now_ms())
 
     async def next_round(self, deadline_ms: float) -> StatusRound:
         """Return a round of polls that were all sent after the call.
 
-        Concurrent callers share a round. It ends when the replicas decide a strict read
-        (otherwise the primary is polled too), when all members that are not suspected
-        have answered, after `ROUND_TIMEOUT_MS`, or at the deadline.
+        Concurrent callers share a round. It ends when the replicas suffice for a strict
+        read (otherwise the primary is polled too), when all members that are not
+        suspected have responded, after `ROUND_TIMEOUT_MS`, or at the deadline.
 
         Parameters
         ----------
@@ -140,19 +140,19 @@
         Returns
         -------
         StatusRound
-            With the members that answered.
+            The members that responded.
         """
-        asked_ms = self.clock.now_ms()
-        if self.next_started is None:
-            self.next_started = asyncio.Future()
+        requested_ms = self.clock.now_ms()
+        if self.scheduled_round is None:
+            self.scheduled_round = asyncio.Future()
             loop = asyncio.get_running_loop()
-            loop.call_soon(self._start_round, self.next_started)
-        shared = self.next_started
+            loop.call_soon(self._start_round, self.scheduled_round)
+        shared = self.scheduled_round
         try:
-            async with asyncio.timeout((deadline_ms - asked_ms) / 1000):
+            async with asyncio.timeout((deadline_ms - requested_ms) / 1000):
                 return await asyncio.shield(shared)
         except TimeoutError:
-            return self.board.collect(asked_ms)
+            return self.board.collect(requested_ms)
 
     async def wait_confirmed(
         self,
@@ -161,10 +161,10 @@
         deadline_ms: float,
         sequence_before: int = 0,
     ) -> CommitOutcome:
-        """Wait for the outcome of a commit or for the position of a read.
+        """Wait until a commit's outcome or a read's position is confirmed.
 
-        Only answers to polls that were sent after the call count, so that a read on
-        the primary learns whether the term was still current when it ran.
+        Only responses to polls sent after the call count. They show whether the term
+        was still current when a read ran on the primary.
 
         Parameters
         ----------
@@ -175,23 +175,23 @@
         deadline_ms : float
             Latest time to return, on the monitor's clock, in milliseconds.
         sequence_before : int, optional
-            Lower bound of the commit's place in the log, see `resolve_commit`.
+            Lower bound of the commit's sequence in the log, see `resolve_commit`.
 
         Returns
         -------
         Confirmed, StillUnknown, RanInHistory or DidNotRun
-            `StillUnknown` only at the deadline. A read may be returned only after
-            `Confirmed`, see `resolve_commit`.
+            `StillUnknown` only at the deadline. The result of a read is valid only
+            after `Confirmed`, see `resolve_commit`.
         """
-        asked_ms = self.clock.now_ms()
+        requested_ms = self.clock.now_ms()
         result: asyncio.Future[CommitOutcome] = asyncio.Future()
-        waiter = CommitWaiter(position, term, sequence_before, asked_ms, result)
+        waiter = CommitWaiter(position, term, sequence_before, requested_ms, result)
         if not self.commit_waiters:
             self._wake(self._confirming_members())
         self.commit_waiters.add(waiter)
         self._settle_commit(waiter)
         try:
-            async with asyncio.timeout((deadline_ms - asked_ms) / 1000):
+            async with asyncio.timeout((deadline_ms - requested_ms) / 1000):
                 return await result
         except TimeoutError:
             return StillUnknown("not confirmed before the deadline")
@@ -199,19 +199,24 @@
             self.commit_waiters.discard(waiter)
 
     def _start_round(self, shared: asyncio.Future[StatusRound]) -> None:
-        # Includes callers of the same turn: the polls are sent after they asked.
+        # Callers in the same iteration of the event loop share the round, since its
+        # polls are sent after all of their calls.
         loop = asyncio.get_running_loop()
-        self.next_started = None
+        self.scheduled_round = None
         waiter = RoundWaiter(self.clock.now_ms(), shared)
         self.round_waiters.add(waiter)
         self._wake(self.endpoints.keys() - {self.group.primary} or self.endpoints)
         primary = (self.group.primary,)
-        first = loop.call_later(PRIMARY_POLL_DELAY_MS / 1000, self._wake, primary)
-        last = loop.call_later(ROUND_TIMEOUT_MS / 1000, self._finish_round, waiter)
+        primary_timer = loop.call_later(
+            PRIMARY_POLL_DELAY_MS / 1000, self._wake, primary
+        )
+        round_timer = loop.call_later(
+            ROUND_TIMEOUT_MS / 1000, self._finish_round, waiter
+        )
 
         def cancel_timers(_: asyncio.Future[StatusRound]) -> None:
-            first.cancel()
-            last.cancel()
+            primary_timer.cancel()
+            round_timer.cancel()
 
         shared.add_done_callback(cancel_timers)
         self._settle_rounds()
@@ -232,23 +237,23 @@
         }
         primary = self.group.primary
         for waiter in tuple(self.round_waiters):
-            answered = self.board.collect(waiter.started_ms)
-            missing = expected - answered.statuses.keys()
+            responses = self.board.collect(waiter.started_ms)
+            missing = expected - responses.statuses.keys()
             if missing == {primary}:
-                choice = choose_strict(answered, self.group)
+                choice = choose_strict(responses, self.group)
                 missing -= {primary} if isinstance(choice, ServeReplicas) else set()
             if expected and not missing:
                 self._finish_round(waiter)
             elif missing == {primary}:
                 self._wake((primary,))
 
-    def _settle_commits(self, answer: PolledStatus) -> None:
-        sequence = answer.status.position.sequence
+    def _settle_commits(self, polled: PolledStatus) -> None:
+        sequence = polled.status.position.sequence
         for waiter in tuple(self.commit_waiters):
-            # Cheap tests first: this runs for every waiter and every answer.
+            # Cheap checks first: this runs for every waiter and every response.
             if (
                 waiter.position.sequence <= sequence
-                and waiter.asked_ms <= answer.sent_ms
+                and waiter.requested_ms <= polled.sent_ms
             ):
                 self._settle_commit(waiter)
 
@@ -256,7 +261,7 @@
         outcome = resolve_commit(
             waiter.position,
             waiter.term,
-            self.board.collect(waiter.asked_ms),
+            self.board.collect(waiter.requested_ms),
             self.group,
             waiter.sequence_before,
         )
@@ -277,23 +282,23 @@
         }
         self.endpoints = dict(endpoints)
         for member in moved:
-            self.board.forget(member)
+            self.board.remove(member)
             task = self.tasks.pop(member, None)
             if task is not None:
                 task.cancel()
 
-    def _match_tasks(self) -> None:
+    def _start_missing_polls(self) -> None:
         self.suspicion.set_members(self.endpoints, self.clock.now_ms())
         for member in self.endpoints.keys() - self.tasks.keys():
-            self.wakes[member] = asyncio.Event()
+            self.wake_events[member] = asyncio.Event()
             self.tasks[member] = asyncio.create_task(
-                self._poll_member(self.endpoints[member], self.wakes[member])
+                self._poll_member(self.endpoints[member], self.wake_events[member])
             )
 
     def _wake(self, members: Iterable[str]) -> None:
         for member in members:
-            if member in self.wakes:
-                self.wakes[member].set()
+            if member in self.wake_events:
+                self.wake_events[member].set()
 
     async def _poll_member(self, endpoint: MemberEndpoint, wake: asyncio.Event) -> None:
         connection: AdminConnection | None = None
@@ -316,35 +321,39 @@
                         self.suspicion.refused(endpoint.member, now_ms)
                     else:
                         self.suspicion.unresponsive(endpoint.member)
-                    self._note_failure(endpoint.member, error)
+                    self._record_failure(endpoint.member, error)
                 else:
-                    self._note_answer(endpoint.member, status, sent_ms)
+                    self._record_status(endpoint.member, status, sent_ms)
                 if connection is None:
-                    # A silent member is not asked more often for waiting requests.
+                    # Waiting requests do not speed up polls to an unreachable member.
                     await asyncio.sleep(POLL_INTERVAL_MS / 1000)
                 else:
-                    await self._pause(endpoint.member, wake, sent_ms)
+                    await self._wait_for_next_poll(endpoint.member, wake, sent_ms)
         finally:
             if connection is not None:
                 connection.close()
 
-    async def _pause(self, member: str, wake: asyncio.Event, sent_ms: float) -> None:
-        confirms = self.commit_waiters and member in self._confirming_members()
-        interval_ms = CONFIRMATION_INTERVAL_MS if confirms else POLL_INTERVAL_MS
+    async def _wait_for_next_poll(
+        self, member: str, wake: asyncio.Event, sent_ms: float
+    ) -> None:
+        is_confirming = self.commit_waiters and member in self._confirming_members()
+        interval_ms = CONFIRMATION_INTERVAL_MS if is_confirming else POLL_INTERVAL_MS
         elapsed_ms = self.clock.now_ms() - sent_ms
         if not wake.is_set():
-            await _wait_event(wake, interval_ms - elapsed_ms)
+            await _wait_for_event(wake, interval_ms - elapsed_ms)
         remaining_ms = sent_ms + MINIMUM_INTERVAL_MS - self.clock.now_ms()
         if remaining_ms > 0:
             await asyncio.sleep(remaining_ms / 1000)
 
-    def _note_answer(self, member: str, status: MemberStatus, sent_ms: float) -> None:
+    def _record_status(self, member: str, status: MemberStatus, sent_ms: float) -> None:
         if status.member != member:
-            self._note_failure(member, ValueError(f"answered as {status.member}"))
+            self._record_failure(
+                member, ValueError(f"member reports its name as {status.member}")
+            )
             return
         now_ms = self.clock.now_ms()
-        answer = PolledStatus(status, sent_ms)
-        self.board.note(answer)
+        polled = PolledStatus(status, sent_ms)
+        self.board.record(polled)
         if is_healthy_status(status, self.group):
             self.suspicion.answered(member, now_ms)
         if member == self.group.primary:
@@ -356,9 +365,9 @@
                 Event.MEMBER_REACHABLE, database=self.group.database, member=member
             )
         self._settle_rounds()
-        self._settle_commits(answer)
+        self._settle_commits(polled)
 
-    def _note_failure(self, member: str, error: BaseException) -> None:
+    def _record_failure(self, member: str, error: BaseException) -> None:
         if member not in self.unreachable and self.is_suspected(member):
             self.unreachable.add(member)
             log_event(
@@ -370,8 +379,8 @@
         self._settle_rounds()
 
 
-async def _wait_event(event: asyncio.Event, timeout_ms: float) -> None:
-    # Setting the event costs less than a timeout, which expires at most polls.
+async def _wait_for_event(event: asyncio.Event, timeout_ms: float) -> None:
+    # Most waits end by the timer; setting the event is cheaper than `asyncio.timeout`.
     delay_s = max(0.0, timeout_ms) / 1000
     timer = asyncio.get_running_loop().call_later(delay_s, event.set)
     try:
@@ -386,16 +395,16 @@
     clock: Clock,
     connect: Connect,
 ) -> Monitor:
-    """Return a monitor that has not been started; see `Monitor`.
+    """Return a monitor that has not been started.
 
     Parameters
     ----------
     group : Group
-        The latest known record.
+        The latest record.
     endpoints : mapping of str to MemberEndpoint
-        Where its members are reached.
+        Addresses of its members.
     clock : Clock
-        Source of time.
+        Clock of deadlines and poll times.
     connect : callable
         Opens an administrative connection to a member, see `make_connect`.
     """
--- a/src/radishtrack/backend/pool.py
+++ b/src/radishtrack/backend/pool.py
@@ -1,4 +1,4 @@
-"""The connections that one holder keeps to the members of one database."""
+"""Connection pool of a holder for the members of one database."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from radishtrack.clock import Clock
 
 MAX_IDLE_MS: Final = 30_000.0
-"""Idle connections older than this are replaced: the member may have dropped them."""
+"""Connections idle for longer are not reused: the member may have closed them."""
 
 OpenConnection = Callable[[MemberEndpoint], Awaitable[MemberConnection]]
 
@@ -24,8 +24,8 @@
 class ConnectionPool:
     """Connections to all members of one database, within one limit.
 
-    A caller holds a permit of the database's admission gate, so at most `limit`
-    connections are in use; idle ones make room before a new one is opened.
+    Callers hold a permit of the database's admission gate, so at most `limit`
+    connections are in use. Idle ones are closed when a new one would exceed the limit.
 
     Parameters
     ----------
@@ -36,7 +36,7 @@
     open_connection : callable
         Opens a connection to an endpoint.
     clock : Clock
-        Dates idle connections.
+        Measures how long connections are idle.
     """
 
     endpoints: dict[str, MemberEndpoint]
@@ -46,36 +46,36 @@
     idle: deque[MemberConnection] = attrs.field(factory=deque)
     in_use: dict[str, int] = attrs.field(factory=dict)
     open_count: int = 0
-    changed: asyncio.Event = attrs.field(factory=asyncio.Event)
+    connection_released: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     @asynccontextmanager
     async def connection(self, member: str) -> AsyncIterator[MemberConnection]:
-        """Use a connection to a member; it is kept afterwards if its state is known.
+        """Use a connection to a member; afterwards keep it if it is reusable.
 
         Raises
         ------
         ConnectFailed
             If no connection could be made; nothing was sent.
         """
-        connection = await self.take(member)
+        connection = await self.acquire(member)
         try:
             yield connection
         finally:
-            self.put_back(connection)
+            self.release(connection)
 
-    async def take(self, member: str) -> MemberConnection:
+    async def acquire(self, member: str) -> MemberConnection:
         """Return an idle or new connection; errors as in `connection`."""
         endpoint = self.endpoints.get(member)
         if endpoint is None:
             raise ConnectFailed(f"{member}: not a member of the group")
         self.in_use[member] = self.in_use.get(member, 0) + 1
         try:
-            return self._take_idle(member) or await self._open(endpoint)
+            return self._pop_idle(member) or await self._open(endpoint)
         except BaseException:
             self.in_use[member] -= 1
             raise
 
-    def put_back(self, connection: MemberConnection) -> None:
+    def release(self, connection: MemberConnection) -> None:
         """Keep a connection for the next user, or close it."""
         self.in_use[connection.member] -= 1
         connection.last_used_ms = self.clock.now_ms()
@@ -84,10 +84,10 @@
             self.idle.append(connection)
         else:
             self._close(connection)
-        self.changed.set()
+        self.connection_released.set()
 
     def replace_endpoints(self, endpoints: Mapping[str, MemberEndpoint]) -> None:
-        """Use other addresses; idle connections to old ones are closed."""
+        """Set the addresses; close idle connections to those no longer in use."""
         moved = {
             member
             for member, endpoint in self.endpoints.items()
@@ -107,9 +107,9 @@
         """Close all idle connections."""
         self.drop_idle({connection.member for connection in self.idle})
 
-    def _take_idle(self, member: str) -> MemberConnection | None:
+    def _pop_idle(self, member: str) -> MemberConnection | None:
         oldest_ms = self.clock.now_ms() - MAX_IDLE_MS
-        # The newest first: the old ones time out and shrink the pool.
+        # Newest first, so that surplus connections reach their idle limit.
         for connection in reversed(tuple(self.idle)):
             if connection.member != member:
                 continue
@@ -124,8 +124,8 @@
             if self.idle:
                 self._close(self.idle.popleft())
                 continue
-            self.changed.clear()
-            await self.changed.wait()
+            self.connection_released.clear()
+            await self.connection_released.wait()
         self.open_count += 1
         try:
             return await self.open_connection(endpoint)
--- a/src/radishtrack/backend/read.py
+++ b/src/radishtrack/backend/read.py
@@ -1,4 +1,4 @@
-"""Execution of reads outside transactions, on the member that may serve them."""
+"""Execution of reads outside transactions."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 import attrs
 
 from radishtrack.backend.connection import (
-    AnswerLost,
     ConnectFailed,
     MemberError,
-    StatementAnswer,
+    ResponseLost,
+    StatementResult,
     StreamHead,
     StreamRows,
 )
 from radishtrack.backend.database import DatabaseBackend
-from radishtrack.backend.write import RETRIED_ERRORS
+from radishtrack.backend.write import RETRYABLE_ERROR_CODES
 from radishtrack.errors import make_not_run
 from radishtrack.group.evidence import (
     NoEvidence,
@@ -43,23 +43,23 @@
 )
 from radishtrack.session.position import Position
 
-WAIT_STEP_MS: Final = 5.0
-PART_TIMEOUT_S: Final = 10.0
-"""Time that a member may take for the next rows of a running result."""
+POSITION_POLL_INTERVAL_MS: Final = 5.0
+CHUNK_TIMEOUT_S: Final = 10.0
+"""Longest wait for the next rows of a result."""
 
 
 @attrs.define(frozen=True)
-class Target:
-    """The member that serves a read.
+class ReadTarget:
+    """The member chosen to serve a read.
 
     Parameters
     ----------
     member : str
-        The member.
+        Name of the member.
     role : Role
         Its role in the group.
     position : Position
-        A position that the member's data contains.
+        A position that the member has reached.
     """
 
     member: str
@@ -72,51 +72,54 @@
 ) -> AsyncIterator[Message]:
     """Run one read and yield its result.
 
-    A failed attempt moves to another member while nothing of the result has been
-    passed on and the retry budget allows it.
+    A failed attempt is repeated on another member if no part of the result has been
+    yielded and the retry budget allows it.
 
     Raises
     ------
     RequestError
-        Not run, if no member could serve it in time or the result broke off.
+        Not run, if no member could serve it in time or the result was interrupted.
     MemberError
         The member's own error.
     """
-    avoided: frozenset[str] = frozenset()
+    excluded: frozenset[str] = frozenset()
     while True:
-        target = await _choose_target(backend, request, deadline_ms, avoided)
+        target = await _choose_target(backend, request, deadline_ms, excluded)
         has_yielded = False
         try:
             async for part in _run_once(backend, request, target, deadline_ms):
                 yield part
                 has_yielded = True
             return
-        except (ConnectFailed, AnswerLost, MemberError) as error:
-            if isinstance(error, MemberError) and error.code not in RETRIED_ERRORS:
+        except (ConnectFailed, ResponseLost, MemberError) as error:
+            if (
+                isinstance(error, MemberError)
+                and error.code not in RETRYABLE_ERROR_CODES
+            ):
                 raise
-            may_retry = not has_yielded and backend.retries.try_retry(
+            is_retry_allowed = not has_yielded and backend.retries.try_retry(
                 backend.clock.now_ms()
             )
-            if not may_retry:
+            if not is_retry_allowed:
                 raise make_not_run("read", str(error), peer=target.member) from error
-            avoided |= {target.member}
-            if len(avoided) == len(backend.group.members):
-                avoided = frozenset()
-                await backend.pause("read", deadline_ms)
+            excluded |= {target.member}
+            if len(excluded) == len(backend.group.members):
+                excluded = frozenset()
+                await backend.wait_before_retry("read", deadline_ms)
 
 
 async def _run_once(
-    backend: DatabaseBackend, request: Execute, target: Target, deadline_ms: float
+    backend: DatabaseBackend, request: Execute, target: ReadTarget, deadline_ms: float
 ) -> AsyncIterator[Message]:
     group = backend.group
     position = target.position
     async with backend.connect(
         target.member, request.organisation, deadline_ms
     ) as connection:
-        # The head may take half of the time that is left, so that another member can be
-        # tried if this one does not answer.
+        # Waits for the head only half of the remaining time, so that another member
+        # can be tried if this one does not respond.
         wait_s = backend.remaining_s(deadline_ms) / 2
-        parts = connection.stream(request.statement, wait_s, PART_TIMEOUT_S)
+        parts = connection.stream(request.statement, wait_s, CHUNK_TIMEOUT_S)
         async with aclosing(parts):  # type: ignore[type-var]
             async for part in parts:
                 match part:
@@ -124,16 +127,16 @@
                         yield ResultHead(request.request, part.names, part.types)
                     case StreamRows():
                         yield Rows(request.request, part.rows)
-                    case StatementAnswer():
+                    case StatementResult():
                         pass
-        connection.dirty = connection.dirty or request.dirties_session
+        connection.is_dirty = connection.is_dirty or request.dirties_session
         if target.role is Role.PRIMARY:
-            # The primary may hold commits that no replica has yet and may have been
-            # replaced; the result counts only once its position is confirmed.
+            # The primary may have been replaced, or have commits that no replica has
+            # yet. The result is valid only once its position is confirmed.
             status = await connection.read_status()
-            reached = position_of_read(status, group)
+            read_position = position_of_read(status, group)
     if target.role is Role.PRIMARY:
-        position = await _confirm_read(backend, group, reached, deadline_ms)
+        position = await _confirm_read(backend, group, read_position, deadline_ms)
     yield Done(
         request.request,
         0,
@@ -149,50 +152,55 @@
 async def _confirm_read(
     backend: DatabaseBackend,
     group: Group,
-    reached: Position | None,
+    read_position: Position | None,
     deadline_ms: float,
 ) -> Position:
-    if reached is None:
+    if read_position is None:
         raise make_not_run("confirm", "primary was replaced", peer=group.primary)
-    outcome = await backend.monitor.wait_confirmed(reached, group.term, deadline_ms)
+    outcome = await backend.monitor.wait_confirmed(
+        read_position, group.term, deadline_ms
+    )
     if not isinstance(outcome, Confirmed):
-        # A later term can contain commits acknowledged before this read began.
+        # The result may miss commits of a later term that were acknowledged before
+        # this read began.
         raise make_not_run("confirm", "result not confirmed", peer=group.primary)
-    return reached
+    return read_position
 
 
 async def _choose_target(
     backend: DatabaseBackend,
     request: Execute,
     deadline_ms: float,
-    avoided: frozenset[str],
-) -> Target:
+    excluded: frozenset[str],
+) -> ReadTarget:
     started_ms = backend.clock.now_ms()
     while True:
         now_ms = backend.clock.now_ms()
-        inputs = _make_read_request(backend, request, avoided, now_ms - started_ms)
-        match choose_member(inputs):
+        read_request = _make_read_request(
+            backend, request, excluded, now_ms - started_ms
+        )
+        match choose_member(read_request):
             case ServeOn(member=member, role=role):
-                return _make_target(backend, inputs, member, role)
+                return _make_target(backend, read_request, member, role)
             case WaitForPosition(remaining_ms=remaining_ms):
-                await asyncio.sleep(min(remaining_ms, WAIT_STEP_MS) / 1000)
+                await asyncio.sleep(min(remaining_ms, POSITION_POLL_INTERVAL_MS) / 1000)
             case StrictRound():
-                target = await _choose_strict_target(backend, inputs, deadline_ms)
+                target = await _choose_strict_target(backend, read_request, deadline_ms)
                 if target is not None:
                     return target
-                await backend.pause("evidence", deadline_ms)
+                await backend.wait_before_retry("evidence", deadline_ms)
 
 
 def _make_target(
-    backend: DatabaseBackend, inputs: ReadRequest, member: str, role: Role
-) -> Target:
-    status = inputs.statuses.get(member)
-    return Target(member, role, status.position if status else Position(0, 0))
+    backend: DatabaseBackend, read_request: ReadRequest, member: str, role: Role
+) -> ReadTarget:
+    status = read_request.statuses.get(member)
+    return ReadTarget(member, role, status.position if status else Position(0, 0))
 
 
 async def _choose_strict_target(
-    backend: DatabaseBackend, inputs: ReadRequest, deadline_ms: float
-) -> Target | None:
+    backend: DatabaseBackend, read_request: ReadRequest, deadline_ms: float
+) -> ReadTarget | None:
     polled = await backend.monitor.next_round(deadline_ms)
     group = backend.group
     choice = choose_strict(polled, group)
@@ -200,7 +208,7 @@
         case NoEvidence():
             return None
         case ServePrimary(position=position):
-            return Target(group.primary, Role.PRIMARY, position)
+            return ReadTarget(group.primary, Role.PRIMARY, position)
         case ServeReplicas(members=members, position=position):
             candidates = members
         case ServeReplicasAtLeast(position=position):
@@ -211,20 +219,20 @@
                 and status.member != group.primary
                 and status.position.sequence >= position.sequence
             )
-    usable = (member for member in candidates if member not in inputs.leaving)
-    member = select_preferred_member(usable, inputs)
+    usable = (member for member in candidates if member not in read_request.leaving)
+    member = select_preferred_member(usable, read_request)
     if member is None:
-        return Target(group.primary, Role.PRIMARY, position)
-    return Target(member, Role.REPLICA, position)
+        return ReadTarget(group.primary, Role.PRIMARY, position)
+    return ReadTarget(member, Role.REPLICA, position)
 
 
 def _make_read_request(
     backend: DatabaseBackend,
     request: Execute,
-    avoided: frozenset[str],
+    excluded: frozenset[str],
     waited_ms: float,
 ) -> ReadRequest:
-    statuses = backend.list_answering()
+    statuses = backend.list_recent_statuses()
     now_ms = backend.clock.now_ms()
     read_class = ReadClass(request.read_class)
     ages_ms = {}
@@ -243,6 +251,6 @@
         backend.pool.in_use,
         backend.list_zones(),
         backend.zone,
-        backend.leaving() | avoided,
+        backend.leaving() | excluded,
         waited_ms,
     )
--- a/src/radishtrack/backend/status_board.py
+++ b/src/radishtrack/backend/status_board.py
@@ -1,4 +1,4 @@
-"""The latest answers of a group's members and when their polls were sent."""
+"""Latest status of each member of a group and when its poll was sent."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @attrs.define(frozen=True)
 class PolledStatus:
-    """An answer and the time at which its poll was sent, in milliseconds."""
+    """A member's status and the time at which its poll was sent, in milliseconds."""
 
     status: MemberStatus
     sent_ms: float
@@ -18,24 +18,24 @@
 
 @attrs.define
 class StatusBoard:
-    """Latest answer of each member that ever answered."""
+    """Latest status of each member that has ever responded."""
 
     polled: dict[str, PolledStatus] = attrs.field(factory=dict)
     latest: dict[str, MemberStatus] = attrs.field(factory=dict)
-    """The statuses of `polled`, for callers that need no times."""
+    """The statuses of `polled` without their times."""
 
-    def note(self, answer: PolledStatus) -> None:
-        """Replace the answer of one member."""
-        self.polled[answer.status.member] = answer
-        self.latest[answer.status.member] = answer.status
+    def record(self, polled_status: PolledStatus) -> None:
+        """Replace the status of one member."""
+        self.polled[polled_status.status.member] = polled_status
+        self.latest[polled_status.status.member] = polled_status.status
 
-    def forget(self, member: str) -> None:
-        """Drop the answer of a member that moved or left the group."""
+    def remove(self, member: str) -> None:
+        """Drop the status of a member that moved or left the group."""
         self.polled.pop(member, None)
         self.latest.pop(member, None)
 
     def collect(self, started_ms: float) -> StatusRound:
-        """Return the answers to polls sent at or after a time.
+        """Return the statuses from polls sent at or after a time.
 
         Parameters
         ----------
@@ -50,13 +50,13 @@
         return StatusRound(started_ms, statuses)
 
     def collect_recent(self, oldest_ms: float) -> StatusRound:
-        """Return the answers since a time as a round that starts with the oldest.
+        """Return the statuses since a time as a round that starts with the oldest.
 
         Parameters
         ----------
         oldest_ms : float
-            Earlier answers are left out, so that a silent member does not make the
-            round old; in milliseconds.
+            Time in milliseconds. Earlier statuses are left out, so that an unresponsive
+            member does not set the start of the round.
         """
         recent = self.collect(oldest_ms)
         sent = (self.polled[member].sent_ms for member in recent.statuses)
--- a/src/radishtrack/backend/transaction.py
+++ b/src/radishtrack/backend/transaction.py
@@ -10,18 +10,18 @@
 import attrs
 
 from radishtrack.backend.connection import (
-    AnswerLost,
     ConnectFailed,
     MemberConnection,
     MemberError,
-    StatementAnswer,
+    ResponseLost,
+    StatementResult,
     StreamHead,
     StreamRows,
 )
 from radishtrack.backend.database import DatabaseBackend
 from radishtrack.backend.member_sql import READ_ONLY_ERROR
 from radishtrack.backend.write import (
-    RETRIED_ERRORS,
+    RETRYABLE_ERROR_CODES,
     confirm_commit,
     find_sequence_before,
 )
@@ -55,7 +55,11 @@
     connection : MemberConnection
         The pinned connection.
     resources : AsyncExitStack
-        Gives the connection and its permit back.
+        Releases the connection and its permit.
+    last_used_ms : float
+        Time of the last use, on the backend's clock, in milliseconds.
+    is_busy : bool
+        Whether a statement is running.
     """
 
     backend: DatabaseBackend
@@ -72,49 +76,49 @@
         Raises
         ------
         RequestError
-            Not run, if the transaction was lost; nothing of it was committed.
+            Not run, if the transaction was lost; none of it was committed.
         MemberError
             The member's own error; the transaction stays open.
         """
-        answer = StatementAnswer(0, 0)
-        self.connection.dirty = self.connection.dirty or request.dirties_session
+        result = StatementResult(0, 0)
+        self.connection.is_dirty = self.connection.is_dirty or request.dirties_session
         try:
             async with asyncio.timeout(self.backend.remaining_s(deadline_ms)) as limit:
                 async for part in self.connection.stream(request.statement):
                     match part:
-                        case StatementAnswer():
-                            answer = part
+                        case StatementResult():
+                            result = part
                         case StreamHead():
                             yield ResultHead(request.request, part.names, part.types)
                         case StreamRows():
                             yield Rows(request.request, part.rows)
-                            # A long result is limited by its reader, not by the
-                            # deadline of its first row.
+                            # The deadline applies to the first rows only; the reader
+                            # sets the pace of the rest.
                             limit.reschedule(None)
-        except (AnswerLost, TimeoutError) as error:
+        except (ResponseLost, TimeoutError) as error:
             raise make_transaction_lost(str(error), self.group.primary) from error
         except MemberError as error:
             if error.code == READ_ONLY_ERROR:
                 raise make_transaction_lost(str(error), self.group.primary) from error
             raise
-        yield self._make_done(request, answer, in_transaction=True)
+        yield self._make_done(request, result, in_transaction=True)
 
     async def commit(self, request: Execute, deadline_ms: float) -> Done:
-        """Commit and confirm.
+        """Commit and wait for confirmation.
 
         Raises
         ------
         RequestError
-            Unknown, if the answer to the commit is missing or not confirmed in time;
-            not run, if the commit was refused or discarded.
+            Unknown, if the response to the commit was lost or the commit was not
+            confirmed in time; not run, if it was refused or discarded.
         """
         primary = self.group.primary
-        before = find_sequence_before(self.backend, self.group)
+        sequence_before = find_sequence_before(self.backend, self.group)
         try:
             async with asyncio.timeout(self.backend.remaining_s(deadline_ms)):
                 await self.connection.run("COMMIT")
                 status = await self.connection.read_status()
-        except (AnswerLost, TimeoutError) as error:
+        except (ResponseLost, TimeoutError) as error:
             raise make_unknown("commit", str(error), peer=primary) from error
         except MemberError as error:
             self.connection.close()
@@ -125,32 +129,32 @@
         if position is None:
             raise make_unknown("commit", "primary was replaced", peer=primary)
         is_kept = await confirm_commit(
-            self.backend, self.group, position, deadline_ms, before
+            self.backend, self.group, position, deadline_ms, sequence_before
         )
         if not is_kept:
             raise make_not_run(
                 "commit", "discarded by a change of primary", peer=primary
             )
-        done = self._make_done(request, StatementAnswer(0, 0), in_transaction=False)
+        done = self._make_done(request, StatementResult(0, 0), in_transaction=False)
         return attrs.evolve(done, term=position.term, sequence=position.sequence)
 
     async def roll_back(self) -> None:
-        """Roll back; the connection is closed if that fails."""
+        """Roll back, or close the connection if that fails."""
         try:
             async with asyncio.timeout(1.0):
                 await self.connection.run("ROLLBACK")
-        except (AnswerLost, MemberError, TimeoutError):
+        except (ResponseLost, MemberError, TimeoutError):
             self.connection.close()
         finally:
             await self.resources.aclose()
 
     def _make_done(
-        self, request: Execute, answer: StatementAnswer, *, in_transaction: bool
+        self, request: Execute, result: StatementResult, *, in_transaction: bool
     ) -> Done:
         return Done(
             request.request,
-            answer.affected_rows,
-            answer.insert_id,
+            result.affected_rows,
+            result.insert_id,
             0,
             0,
             self.group.primary,
@@ -175,17 +179,17 @@
 async def begin_transaction(
     backend: DatabaseBackend, request: Execute, deadline_ms: float
 ) -> Transaction:
-    """Open a transaction on the primary, waiting for a promotion if need be.
+    """Open a transaction on the primary, after a promotion if one is needed.
 
     Raises
     ------
     RequestError
-        Not run, if no primary takes it in time.
+        Not run, if no primary accepts it in time.
     """
     while True:
         group = backend.group
         if backend.has_later_term(group):
-            await backend.pause("begin", deadline_ms)
+            await backend.wait_before_retry("begin", deadline_ms)
             continue
         resources = AsyncExitStack()
         try:
@@ -194,11 +198,11 @@
             )
             async with asyncio.timeout(backend.remaining_s(deadline_ms)):
                 await connection.run(request.statement)
-        except (ConnectFailed, AnswerLost, TimeoutError):
+        except (ConnectFailed, ResponseLost, TimeoutError):
             await resources.aclose()
         except MemberError as error:
             await resources.aclose()
-            if error.code not in RETRIED_ERRORS:
+            if error.code not in RETRYABLE_ERROR_CODES:
                 raise
         except BaseException:
             await resources.aclose()
@@ -208,4 +212,4 @@
             return Transaction(
                 backend, request.organisation, group, connection, resources, now_ms
             )
-        await backend.pause("begin", deadline_ms)
+        await backend.wait_before_retry("begin", deadline_ms)
--- a/src/radishtrack/backend/write.py
+++ b/src/radishtrack/backend/write.py
@@ -1,4 +1,4 @@
-"""Execution of single writes, up to their confirmed outcome."""
+"""Execution of writes outside transactions, with confirmation of their commits."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 import attrs
 
 from radishtrack.backend.connection import (
-    AnswerLost,
     ConnectFailed,
     MemberConnection,
     MemberError,
-    StatementAnswer,
+    ResponseLost,
+    StatementResult,
     StreamHead,
     StreamRows,
 )
@@ -36,26 +36,26 @@
 from radishtrack.peer.messages import Done, Execute, Message, ResultHead, Rows
 from radishtrack.session.position import Position
 
-CONFIRM_STEP_MS: Final = 250.0
-RETRIED_ERRORS: Final = frozenset({READ_ONLY_ERROR, TOO_MANY_CONNECTIONS_ERROR})
-"""The member refused before it ran anything, so trying again repeats nothing."""
+TERM_CHECK_INTERVAL_MS: Final = 250.0
+RETRYABLE_ERROR_CODES: Final = frozenset({READ_ONLY_ERROR, TOO_MANY_CONNECTIONS_ERROR})
+"""Errors of statements that the member refused before it ran anything."""
 
 
 @attrs.define
-class Ran:
-    """A statement that the primary answered; not yet confirmed.
+class ExecutedWrite:
+    """A statement that the primary has executed and whose commit is not confirmed.
 
     Parameters
     ----------
-    answer : StatementAnswer
-        The primary's answer.
+    result : StatementResult
+        The primary's result.
     position : Position or None
         Position that covers the commit; None if the primary changed meanwhile.
     sequence_before : int
-        A length that the log had before the commit; 0 if not known.
+        A sequence that the log had reached before the commit; 0 if unknown.
     """
 
-    answer: StatementAnswer
+    result: StatementResult
     position: Position | None
     sequence_before: int = 0
 
@@ -68,8 +68,8 @@
 ) -> AsyncIterator[Message]:
     """Run one statement on the primary and confirm its commit.
 
-    While no primary takes it, the request waits for a promotion within its deadline:
-    it provably has not run.
+    While no primary accepts the statement, it provably has not run and is retried
+    until its deadline, for example after a promotion.
 
     Parameters
     ----------
@@ -78,9 +78,9 @@
     request : Execute
         The statement.
     deadline_ms : float
-        Latest answer, on the backend's clock.
+        Time of the latest response, on the backend's clock, in milliseconds.
     entry : JournalEntry or None
-        Set for a request that may be repeated under an identifier.
+        Set for a request with an identifier, which may be repeated.
 
     Yields
     ------
@@ -90,7 +90,7 @@
     Raises
     ------
     RequestError
-        With the outcome that is known.
+        With the outcome as far as it is known.
     MemberError
         The member's own error.
     """
@@ -98,18 +98,18 @@
     while True:
         group = backend.group
         if backend.has_later_term(group):
-            # The primary may have been replaced: nothing is sent to it any more.
-            await _pause(backend, deadline_ms, may_have_run)
+            # The recorded primary may have been replaced; nothing more is sent to it.
+            await _wait_before_retry(backend, deadline_ms, may_have_run)
             continue
-        before = find_sequence_before(backend, group)
+        sequence_before = find_sequence_before(backend, group)
         parts: list[Message] = []
         try:
             async with backend.connect(
                 group.primary, request.organisation, deadline_ms
             ) as connection:
                 async with asyncio.timeout(backend.remaining_s(deadline_ms)):
-                    ran = await _run_once(
-                        connection, group, request, entry, parts, before
+                    executed = await _run_once(
+                        connection, group, request, entry, parts, sequence_before
                     )
         except RequestError as error:
             refused = error.failure.outcome is Outcome.NOT_RUN
@@ -117,32 +117,34 @@
                 raise make_unknown("write", error.failure.message) from error
             raise
         except ConnectFailed:
-            await _pause(backend, deadline_ms, may_have_run)
+            await _wait_before_retry(backend, deadline_ms, may_have_run)
             continue
         except MemberError as error:
-            retried = error.code in RETRIED_ERRORS
-            if not retried and not (entry and error.code == LOCK_WAIT_TIMEOUT_ERROR):
+            is_retryable = error.code in RETRYABLE_ERROR_CODES
+            if not is_retryable and not (
+                entry and error.code == LOCK_WAIT_TIMEOUT_ERROR
+            ):
                 raise
-            await _pause(backend, deadline_ms, may_have_run)
+            await _wait_before_retry(backend, deadline_ms, may_have_run)
             continue
-        except (AnswerLost, TimeoutError) as error:
+        except (ResponseLost, TimeoutError) as error:
             if entry is None:
-                reason = str(error) or "the primary did not answer in time"
+                reason = str(error) or "the primary did not respond in time"
                 raise make_unknown("write", reason, peer=group.primary) from error
-            # The journal makes a second run harmless and tells what became of the
-            # first.
+            # Running it again is safe: the journal shows whether the first run was
+            # committed.
             may_have_run = True
-            await _pause(backend, deadline_ms, may_have_run)
+            await _wait_before_retry(backend, deadline_ms, may_have_run)
             continue
-        if await _is_confirmed(backend, group, ran, deadline_ms, entry):
+        if await _is_confirmed(backend, group, executed, deadline_ms, entry):
             break
-        # A journaled request that was not confirmed may still be contained in the
-        # new term; only the next run tells.
+        # The new term may contain the commit of a journaled request that was not
+        # confirmed; running it again shows whether it does.
         may_have_run = True
-        await _pause(backend, deadline_ms, may_have_run)
+        await _wait_before_retry(backend, deadline_ms, may_have_run)
     for part in parts:
         yield part
-    yield _make_done(request, ran, group)
+    yield _make_done(request, executed, group)
 
 
 async def confirm_commit(
@@ -176,17 +178,17 @@
 
 
 def find_sequence_before(backend: DatabaseBackend, group: Group) -> int:
-    """Return a length that the primary's log has already reached."""
+    """Return a sequence that the primary's log has already reached; 0 if unknown."""
     status = backend.monitor.latest.get(group.primary)
     return 0 if status is None else sequence_before(status, group)
 
 
-async def _pause(
+async def _wait_before_retry(
     backend: DatabaseBackend, deadline_ms: float, may_have_run: bool
 ) -> None:
     if may_have_run and backend.remaining_s(deadline_ms) <= 0.05:
         raise make_unknown("write", "deadline passed", peer=backend.group.primary)
-    await backend.pause("write", deadline_ms)
+    await backend.wait_before_retry("write", deadline_ms)
 
 
 async def _run_once(
@@ -195,45 +197,45 @@
     request: Execute,
     entry: JournalEntry | None,
     parts: list[Message],
-    before: int,
-) -> Ran:
-    answer = StatementAnswer(0, 0)
+    sequence_before: int,
+) -> ExecutedWrite:
+    result = StatementResult(0, 0)
     if entry is not None:
         journaled = await run_journaled(connection, entry, request.statement)
-        answer = journaled.answer
+        result = journaled.result
         if journaled.is_repeat:
-            # The commit is older than any length known now.
-            before = 0
+            # The earlier run's commit may precede the sequence read before this run.
+            sequence_before = 0
     else:
         async for part in connection.stream(request.statement):
             match part:
-                case StatementAnswer():
-                    answer = part
+                case StatementResult():
+                    result = part
                 case StreamHead():
                     parts.append(ResultHead(request.request, part.names, part.types))
                 case StreamRows():
                     parts.append(Rows(request.request, part.rows))
-    connection.dirty = connection.dirty or request.dirties_session
+    connection.is_dirty = connection.is_dirty or request.dirties_session
     status = await connection.read_status()
-    return Ran(answer, position_of_commit(status, group), before)
+    return ExecutedWrite(result, position_of_commit(status, group), sequence_before)
 
 
 async def _is_confirmed(
     backend: DatabaseBackend,
     group: Group,
-    ran: Ran,
+    executed: ExecutedWrite,
     deadline_ms: float,
     entry: JournalEntry | None,
 ) -> bool:
-    """Wait for the outcome; False means that a journaled request must run again."""
-    if ran.position is None:
+    """Wait for confirmation; return False if a journaled request must run again."""
+    if executed.position is None:
         if entry is None:
             raise make_unknown("confirm", "primary was replaced", peer=group.primary)
         return False
     if entry is not None:
-        return await _is_journaled_confirmed(backend, group, ran, deadline_ms)
+        return await _is_journaled_confirmed(backend, group, executed, deadline_ms)
     if await confirm_commit(
-        backend, group, ran.position, deadline_ms, ran.sequence_before
+        backend, group, executed.position, deadline_ms, executed.sequence_before
     ):
         return True
     raise make_not_run(
@@ -242,14 +244,14 @@
 
 
 async def _is_journaled_confirmed(
-    backend: DatabaseBackend, group: Group, ran: Ran, deadline_ms: float
+    backend: DatabaseBackend, group: Group, executed: ExecutedWrite, deadline_ms: float
 ) -> bool:
-    """Wait as long as the term lasts; after it, running again tells the outcome."""
-    assert ran.position is not None
+    """Wait for confirmation while the term lasts; later, a rerun finds the outcome."""
+    assert executed.position is not None
     while backend.group.term == group.term:
-        step_ms = min(deadline_ms, backend.clock.now_ms() + CONFIRM_STEP_MS)
+        step_ms = min(deadline_ms, backend.clock.now_ms() + TERM_CHECK_INTERVAL_MS)
         outcome = await backend.monitor.wait_confirmed(
-            ran.position, group.term, step_ms, ran.sequence_before
+            executed.position, group.term, step_ms, executed.sequence_before
         )
         if isinstance(outcome, Confirmed | RanInHistory):
             return True
@@ -258,12 +260,12 @@
     return False
 
 
-def _make_done(request: Execute, ran: Ran, group: Group) -> Done:
-    position = ran.position or Position(0, 0)
+def _make_done(request: Execute, executed: ExecutedWrite, group: Group) -> Done:
+    position = executed.position or Position(0, 0)
     return Done(
         request.request,
-        ran.answer.affected_rows,
-        ran.answer.insert_id,
+        executed.result.affected_rows,
+        executed.result.insert_id,
         position.term,
         position.sequence,
         group.primary,
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""Guards at-most-once execution under a request identifier."""
+"""Guards at-most-once execution of requests with an identifier."""
 
 from __future__ import annotations
 
@@ -42,16 +42,16 @@
     return int((await connection.fetch("SELECT COUNT(*) FROM receipts"))[0][0])
 
 
-async def test_a_repeated_request_returns_the_first_answer(
+async def test_a_repeated_request_returns_the_first_result(
     member: RunningMember,
 ) -> None:
     connection = await connect(member)
     entry = make_journal_entry("o", "r-1", INSERT)
-    first = await run_journaled(connection, entry, INSERT)
-    again = await run_journaled(connection, entry, INSERT)
-    assert (first.is_repeat, again.is_repeat) == (False, True)
-    assert again.answer == first.answer
-    assert first.answer.affected_rows == 1
+    first_run = await run_journaled(connection, entry, INSERT)
+    repeat = await run_journaled(connection, entry, INSERT)
+    assert (first_run.is_repeat, repeat.is_repeat) == (False, True)
+    assert repeat.result == first_run.result
+    assert first_run.result.affected_rows == 1
     assert await count_rows(connection) == 1
     connection.close()
 
@@ -79,7 +79,7 @@
 
 
 async def test_a_failed_statement_leaves_no_entry(member: RunningMember) -> None:
-    """An entry of a statement that did not run would hide its next attempt."""
+    """With an entry left behind, the next attempt would be skipped as a repeat."""
     connection = await connect(member)
     bad = "INSERT INTO receipts (id, name) VALUES (1, 'a'), (1, 'b')"
     entry = make_journal_entry("o", "r-1", bad)
@@ -91,19 +91,19 @@
     connection.close()
 
 
-async def test_simultaneous_repeats_run_once(member: RunningMember) -> None:
+async def test_concurrent_repeats_run_once(member: RunningMember) -> None:
     connections = [await connect(member) for _ in range(4)]
     entry = make_journal_entry("o", "r-1", INSERT)
-    answers = await asyncio.gather(
+    results = await asyncio.gather(
         *(run_journaled(connection, entry, INSERT) for connection in connections),
         return_exceptions=True,
     )
-    fresh = [
-        found
-        for found in answers
-        if not isinstance(found, BaseException) and not found.is_repeat
+    first_results = [
+        result
+        for result in results
+        if not isinstance(result, BaseException) and not result.is_repeat
     ]
-    assert len(fresh) == 1
+    assert len(first_results) == 1
     assert await count_rows(connections[0]) == 1
     for connection in connections:
         connection.close()
--- a/tests/test_member_connection.py
+++ b/tests/test_member_connection.py
@@ -1,4 +1,4 @@
-"""Guards that a silent member ends a statement and its connection."""
+"""Guards that an unresponsive member fails a statement and closes its connection."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 from radishtrack.backend.connection import (
-    AnswerLost,
+    ResponseLost,
     StreamHead,
     StreamRows,
     open_connection,
@@ -19,10 +19,10 @@
 ROWS = 450
 
 
-async def test_a_frozen_member_fails_the_statement_and_loses_the_connection(
+async def test_a_frozen_member_fails_the_statement_and_closes_the_connection(
     tmp_path: Path,
 ) -> None:
-    """A late answer on a kept connection would be taken for that of the next one."""
+    """On a kept connection the next statement would read the late response."""
     running = await start_member(MemberSettings("a", tmp_path, connect_cost_ms=0))
     port, admin_port = running.port, running.admin_port
     endpoint = MemberEndpoint("a", "127.0.0.1", port, admin_port, "z")
@@ -40,7 +40,7 @@
         assert connection.is_reusable
         running.member.faults.set(freeze=True)
         async with asyncio.timeout(10):
-            with pytest.raises(AnswerLost):
+            with pytest.raises(ResponseLost):
                 async for _ in connection.stream("SELECT * FROM numbers", 0.05, 5.0):
                     pass
         assert not connection.is_reusable
--- a/tests/test_member_sql.py
+++ b/tests/test_member_sql.py
@@ -1,4 +1,4 @@
-"""Guards the only place that writes and reads the group statements of a member."""
+"""Guards the text of group statements and the parsing of status rows."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
         follow_sql(3, host, 3306, 41)
 
 
-def test_status_row_is_parsed_from_numbers_and_from_text() -> None:
+def test_a_status_row_is_parsed_from_numbers_and_from_text() -> None:
     expected = MemberStatus("M1", 2, 3, Role.REPLICA, Position(1, 40))
     assert parse_status(("M1", 2, 3, "replica", 1, 40)) == expected
     assert parse_status(("M1", "2", "3", "replica", "1", "40")) == expected
--- a/tests/test_monitor.py
+++ b/tests/test_monitor.py
@@ -1,4 +1,4 @@
-"""Guards the monitor's polls: fresh rounds, shared cost and no leaked connection."""
+"""Guards that rounds are fresh and shared and that polls leak no connection."""
 
 from __future__ import annotations
 
@@ -23,74 +23,76 @@
 
 @attrs.define
 class FakeMembers:
-    """Members that answer in memory; `answer` may wait or raise."""
+    """Members in memory; `status_for` returns a status or raises."""
 
-    answer: Callable[[str], MemberStatus]
-    gates: dict[str, asyncio.Event] = attrs.field(factory=dict)
+    status_for: Callable[[str], MemberStatus]
+    response_gates: dict[str, asyncio.Event] = attrs.field(factory=dict)
     polls: dict[str, int] = attrs.field(factory=lambda: dict.fromkeys(NAMES, 0))
-    open: dict[str, int] = attrs.field(factory=lambda: dict.fromkeys(NAMES, 0))
+    open_connections: dict[str, int] = attrs.field(
+        factory=lambda: dict.fromkeys(NAMES, 0)
+    )
 
     async def connect(self, endpoint: MemberEndpoint) -> AdminConnection:
-        """Open a connection whose answers wait for the member's gate."""
+        """Open a connection whose responses wait for the member's gate."""
 
         async def run(_: str) -> MemberStatus:
             self.polls[endpoint.member] += 1
-            status = self.answer(endpoint.member)
-            if endpoint.member in self.gates:
-                await self.gates[endpoint.member].wait()
+            status = self.status_for(endpoint.member)
+            if endpoint.member in self.response_gates:
+                await self.response_gates[endpoint.member].wait()
             return status
 
         def close() -> None:
-            self.open[endpoint.member] -= 1
+            self.open_connections[endpoint.member] -= 1
 
-        self.open[endpoint.member] += 1
+        self.open_connections[endpoint.member] += 1
         return AdminConnection(run, close)
 
 
-def answer_at(sequence: int) -> Callable[[str], MemberStatus]:
-    def answer(member: str) -> MemberStatus:
+def make_status_source(sequence: int) -> Callable[[str], MemberStatus]:
+    def status_for(member: str) -> MemberStatus:
         role = Role.PRIMARY if member == "a" else Role.REPLICA
         return MemberStatus(member, 1, 1, role, Position(1, sequence))
 
-    return answer
+    return status_for
 
 
-def make_started(members: FakeMembers, clock: Clock) -> Monitor:
+def start_monitor(members: FakeMembers, clock: Clock) -> Monitor:
     endpoints = {name: MemberEndpoint(name, "127.0.0.1", 1, 1, "z") for name in NAMES}
     monitor = make_monitor(GROUP, endpoints, clock, connect=members.connect)
     monitor.start()
     return monitor
 
 
-async def test_a_round_holds_no_answer_to_an_earlier_poll() -> None:
-    """An answer under way before the read could miss a commit acknowledged since."""
-    clock, members = make_system_clock(), FakeMembers(answer_at(5))
-    gate = members.gates["b"] = asyncio.Event()
-    monitor = make_started(members, clock)
+async def test_a_round_excludes_responses_to_earlier_polls() -> None:
+    """A response sent before the read could miss a commit acknowledged since."""
+    clock, members = make_system_clock(), FakeMembers(make_status_source(5))
+    gate = members.response_gates["b"] = asyncio.Event()
+    monitor = start_monitor(members, clock)
     await asyncio.sleep(0.02)
-    members.answer = answer_at(6)
-    asked = asyncio.create_task(monitor.next_round(clock.now_ms() + 5_000))
+    members.status_for = make_status_source(6)
+    round_task = asyncio.create_task(monitor.next_round(clock.now_ms() + 5_000))
     await asyncio.sleep(0)
     gate.set()
-    status_round = await asked
+    status_round = await round_task
     assert monitor.suspicion.last_healthy_ms.keys() == set(NAMES)
-    assert status_round.statuses.keys() == {"b", "c"}, "the replicas decide it"
+    assert status_round.statuses.keys() == {"b", "c"}, "the replicas suffice"
     assert {s.position.sequence for s in status_round.statuses.values()} == {6}
     await monitor.stop()
 
 
-async def test_a_round_ends_without_a_silent_member() -> None:
-    clock, members = make_system_clock(), FakeMembers(answer_at(5))
-    members.gates["c"] = asyncio.Event()
-    monitor = make_started(members, clock)
+async def test_a_round_ends_without_an_unresponsive_member() -> None:
+    clock, members = make_system_clock(), FakeMembers(make_status_source(5))
+    members.response_gates["c"] = asyncio.Event()
+    monitor = start_monitor(members, clock)
     status_round = await monitor.next_round(clock.now_ms() + 5_000)
     assert status_round.statuses.keys() == {"a", "b"}
     await monitor.stop()
 
 
-async def test_replicas_are_polled_often_only_while_commits_wait() -> None:
-    clock, members = make_system_clock(), FakeMembers(answer_at(5))
-    monitor = make_started(members, clock)
+async def test_replicas_are_polled_fast_only_while_commits_wait() -> None:
+    clock, members = make_system_clock(), FakeMembers(make_status_source(5))
+    monitor = start_monitor(members, clock)
     await asyncio.sleep(0.02)
     waits = [
         asyncio.create_task(
@@ -101,16 +103,16 @@
     while members.polls["b"] < 80:
         await asyncio.sleep(0.001)
     assert 8 * members.polls["a"] < members.polls["b"]
-    assert members.polls["b"] < 200, "the cost must not depend on the waiters"
-    members.answer = answer_at(6)
+    assert members.polls["b"] < 200, "the polls must not increase with the waiters"
+    members.status_for = make_status_source(6)
     assert await asyncio.gather(*waits) == [Confirmed()] * 200
     assert not monitor.commit_waiters
     await monitor.stop()
 
 
-async def test_a_waiting_commit_learns_of_a_promotion_and_of_its_deadline() -> None:
-    clock, members = make_system_clock(), FakeMembers(answer_at(5))
-    monitor = make_started(members, clock)
+async def test_waiting_for_a_commit_ends_at_a_promotion_or_the_deadline() -> None:
+    clock, members = make_system_clock(), FakeMembers(make_status_source(5))
+    monitor = start_monitor(members, clock)
     late = await monitor.wait_confirmed(Position(1, 6), 1, clock.now_ms() + 20)
     assert isinstance(late, StillUnknown)
     wait = asyncio.create_task(
@@ -128,16 +130,16 @@
 async def test_a_cancelled_poll_closes_its_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A late answer on a kept connection would be taken for that of the next poll."""
+    """On a kept connection the next poll would read the late response as its own."""
     monkeypatch.setattr(monitor_module, "POLL_TIMEOUT_MS", 20.0)
-    members = FakeMembers(answer_at(5))
-    members.gates["c"] = asyncio.Event()
-    monitor = make_started(members, make_system_clock())
+    members = FakeMembers(make_status_source(5))
+    members.response_gates["c"] = asyncio.Event()
+    monitor = start_monitor(members, make_system_clock())
     async with asyncio.timeout(10):
-        while members.open["c"] == 0:
+        while members.open_connections["c"] == 0:
             await asyncio.sleep(0.001)
-        while members.open["c"] > 0:
+        while members.open_connections["c"] > 0:
             await asyncio.sleep(0.001)
-    assert members.open == {"a": 1, "b": 1, "c": 0}
+    assert members.open_connections == {"a": 1, "b": 1, "c": 0}
     await monitor.stop()
-    assert members.open == {"a": 0, "b": 0, "c": 0}
+    assert members.open_connections == {"a": 0, "b": 0, "c": 0}
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""Guards scarce connections: the limit holds, and none passes on another's state."""
+"""Guards the connection limit and that no connection is reused in an unknown state."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @attrs.define
 class FakeConnection:
-    """Stands for a `MemberConnection`."""
+    """Replaces a `MemberConnection`."""
 
     endpoint: MemberEndpoint
     is_reusable: bool = True
@@ -31,7 +31,7 @@
 
 
 @attrs.define
-class Opener:
+class FakeOpener:
     """Opens fake connections, or fails."""
 
     opened: list[FakeConnection] = attrs.field(factory=list)
@@ -54,14 +54,14 @@
 
 def make_test_pool(
     limit: int = 2,
-) -> tuple[ConnectionPool, Opener, ManualTime]:
-    opener, time = Opener(), ManualTime()
+) -> tuple[ConnectionPool, FakeOpener, ManualTime]:
+    opener, time = FakeOpener(), ManualTime()
     endpoints = {name: make_endpoint(name) for name in ("m1", "m2")}
     pool = make_pool(endpoints, limit, opener, make_manual_clock(time))
     return pool, opener, time
 
 
-async def test_a_connection_is_used_again() -> None:
+async def test_a_released_connection_is_reused() -> None:
     pool, opener, _ = make_test_pool()
     for _ in range(3):
         async with pool.connection("m1"):
@@ -70,7 +70,7 @@
 
 
 async def test_a_connection_in_doubt_is_closed() -> None:
-    """A late answer on it would reach the next user."""
+    """Its next user would read a late response as its own."""
     pool, opener, _ = make_test_pool()
     async with pool.connection("m1") as connection:
         connection.is_reusable = False  # type: ignore[misc]
@@ -79,7 +79,7 @@
         assert connection is opener.opened[1]
 
 
-async def test_idle_connections_make_room_within_the_limit() -> None:
+async def test_an_idle_connection_is_closed_to_stay_within_the_limit() -> None:
     pool, opener, _ = make_test_pool(limit=2)
     async with pool.connection("m1"), pool.connection("m1"):
         pass
@@ -88,7 +88,7 @@
     assert pool.open_count == 2
 
 
-async def test_an_old_idle_connection_is_not_trusted() -> None:
+async def test_a_connection_idle_for_too_long_is_replaced() -> None:
     pool, opener, time = make_test_pool()
     async with pool.connection("m1"):
         pass
@@ -99,12 +99,12 @@
     assert len(opener.opened) == 2
 
 
-async def test_a_failed_connect_takes_no_place() -> None:
+async def test_a_failed_connect_does_not_count_against_the_limit() -> None:
     pool, opener, _ = make_test_pool(limit=1)
     opener.fails = True
     for _ in range(3):
         with pytest.raises(ConnectFailed):
-            await pool.take("m1")
+            await pool.acquire("m1")
     opener.fails = False
     async with pool.connection("m1"):
         assert pool.open_count == 1
@@ -112,12 +112,12 @@
 
 
 async def test_a_moved_member_gets_new_connections() -> None:
-    """Once, a connection in use during the move was kept for later requests."""
+    """Regression: a connection in use during the move was kept for later requests."""
     pool, opener, _ = make_test_pool()
     async with pool.connection("m1") as connection:
         moved = make_endpoint("m1", 9)
         pool.replace_endpoints({"m1": moved, "m2": make_endpoint("m2")})
-        assert not opener.opened[0].is_closed, "running work is not cut"
+        assert not opener.opened[0].is_closed, "a connection in use stays open"
         assert connection is opener.opened[0]
     async with pool.connection("m1"):
         assert len(opener.opened) == 2
@@ -126,4 +126,4 @@
 async def test_an_unknown_member_is_refused() -> None:
     pool, _, _ = make_test_pool()
     with pytest.raises(ConnectFailed, match="not a member"):
-        await pool.take("m9")
+        await pool.acquire("m9")
