--- a/src/radishtrack/objects/budget.py
+++ b/src/radishtrack/objects/budget.py
@@ -1,4 +1,4 @@
-"""When a process may call the platform: call budget and backoff."""
+"""Call budget of a process at the platform, and backoff after failed calls."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 DEFAULT_RATE_PER_S: Final = 20.0
 DEFAULT_BURST_CALLS: Final = 40.0
-FIRST_BACKOFF_MS: Final = 50.0
-LONGEST_BACKOFF_MS: Final = 10_000.0
+INITIAL_BACKOFF_MS: Final = 50.0
+MAX_BACKOFF_MS: Final = 10_000.0
 MILLISECONDS_PER_SECOND: Final = 1000.0
 
 Random = Callable[[], float]
@@ -19,7 +19,7 @@
 
 
 class Priority(enum.Enum):
-    """Importance of a call, with the share of the burst that it leaves to others."""
+    """Priority of a call; its value is the share of the burst left to other calls."""
 
     PROMOTION = -1.0
     """May overdraw the budget by one burst; the debt delays all other calls."""
@@ -34,18 +34,18 @@
 
 @attrs.define
 class CallBudget:
-    """Token bucket of one process.
+    """Token bucket for the calls of one process.
 
     Parameters
     ----------
     rate_per_s : float
         Calls per second on average.
     burst_calls : float
-        Calls that can be made at once.
+        Capacity of the bucket.
     tokens : float
-        Calls left; negative while promotion calls have overdrawn the budget.
+        Calls left; negative after promotion calls have overdrawn the budget.
     updated_ms : float
-        Time up to which `tokens` has been refilled, in milliseconds.
+        Time of the last refill, in milliseconds.
     """
 
     rate_per_s: float = DEFAULT_RATE_PER_S
@@ -56,38 +56,38 @@
     updated_ms: float = 0.0
 
 
-def take_call(budget: CallBudget, priority: Priority, now_ms: float) -> float:
-    """Take one call from the budget if it is allowed now.
+def acquire_call(budget: CallBudget, priority: Priority, now_ms: float) -> float:
+    """Consume a token for one call if the budget allows the call now.
 
     Returns
     -------
     float
-        0 if the call was taken, otherwise the time in milliseconds after which to ask
-        again; nothing was taken then.
+        0 if the call may be made, otherwise the time in milliseconds until it may;
+        no token is consumed then.
     """
     elapsed_ms = max(0.0, now_ms - budget.updated_ms)
-    refill = elapsed_ms * budget.rate_per_s / MILLISECONDS_PER_SECOND
-    budget.tokens = min(budget.burst_calls, budget.tokens + refill)
+    refilled_tokens = elapsed_ms * budget.rate_per_s / MILLISECONDS_PER_SECOND
+    budget.tokens = min(budget.burst_calls, budget.tokens + refilled_tokens)
     budget.updated_ms = max(budget.updated_ms, now_ms)
-    missing = priority.reserve * budget.burst_calls + 1.0 - budget.tokens
-    # Rounding of the refill must not make a caller wait for a vanishing time.
-    if missing > 1e-9:
-        return missing * MILLISECONDS_PER_SECOND / budget.rate_per_s
+    missing_tokens = priority.reserve * budget.burst_calls + 1.0 - budget.tokens
+    # The tolerance keeps rounding errors of the refill from delaying a call.
+    if missing_tokens > 1e-9:
+        return missing_tokens * MILLISECONDS_PER_SECOND / budget.rate_per_s
     budget.tokens -= 1.0
     return 0.0
 
 
 def backoff_ms(failures: int, random: Random) -> float:
-    """Return the delay before the next try, in milliseconds.
+    """Return the delay before the next attempt, in milliseconds.
 
     Parameters
     ----------
     failures : int
-        Failed tries in a row, at least 1.
+        Consecutive failures, at least 1.
     random : callable
-        Random source; spreads the delay over half of its length, so that nodes do
-        not return at the same moment after an outage.
+        Random source. Jitter over half of the delay keeps nodes from retrying at the
+        same time after an outage.
     """
     doublings = min(failures - 1, 16)
-    longest = min(LONGEST_BACKOFF_MS, FIRST_BACKOFF_MS * 2.0**doublings)
-    return longest * (0.5 + random() / 2)
+    max_delay_ms = min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2.0**doublings)
+    return max_delay_ms * (0.5 + random() / 2)
--- a/src/radishtrack/objects/client.py
+++ b/src/radishtrack/objects/client.py
@@ -1,4 +1,4 @@
-"""Asynchronous client of the platform's HTTP API."""
+"""Asynchronous client of the platform's object API and VM list."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     CallBudget,
     Priority,
     Random,
+    acquire_call,
     backoff_ms,
-    take_call,
 )
 from radishtrack.objects.records import (
     Conflict,
@@ -28,28 +28,28 @@
     Value,
     VmRecord,
     WatchResponse,
-    WriteAnswer,
+    WriteResult,
     Written,
     parse_object,
     parse_vm,
 )
 
 DEFAULT_TIMEOUT_MS: Final = 2000.0
-RESOLVE_TRIES: Final = 8
-READS: Final = frozenset({"GET"})
+MAX_RESOLVE_FAILURES: Final = 8
+READ_METHODS: Final = frozenset({"GET"})
 
 _T = TypeVar("_T")
 
 
 @attrs.define(frozen=True)
-class _Answer:
+class _Response:
     status: int
     data: Any
     size: int = 0
 
 
 ObserveCall = Callable[[str, int], None]
-"""Takes the result of a call and the size of its answer in bytes."""
+"""Called with the result of a call and the length of its response text."""
 
 
 def _ignore_call(_result: str, _size: int) -> None:
@@ -57,7 +57,7 @@
 
 
 class PlatformClient:
-    """Calls of one process; construct it with `make_platform_client`."""
+    """Client of one process; construct it with `make_platform_client`."""
 
     def __init__(
         self,
@@ -73,28 +73,28 @@
         self.random = random
         self.timeout_ms = timeout_ms
         self.observe: ObserveCall = _ignore_call
-        """Told of every call, for the metrics."""
+        """Called after each call, for metrics."""
         self.session: aiohttp.ClientSession | None = None
         self.last_contact_ms: float | None = None
-        """A time by the clock at or after which the platform produced its last answer;
-        None before the first one. Dates data that was read from the platform."""
+        """Lower bound of the time at which the platform produced its last response;
+        None before the first one. Shows how old data from the platform can be."""
 
     async def get(
         self, kind: str, name: str, *, priority: Priority = Priority.NORMAL
     ) -> PlatformObject | None:
         """Return an object, or None if it does not exist."""
-        answer = await self._call("get", "GET", _path(kind, name), priority)
-        if answer.status != 200:
+        response = await self._call("get", "GET", _object_path(kind, name), priority)
+        if response.status != 200:
             return None
-        return self._parse("get", parse_object, answer.data)
+        return self._parse("get", parse_object, response.data)
 
     async def list_objects(
         self, kind: str, *, priority: Priority = Priority.NORMAL
     ) -> tuple[PlatformObject, ...]:
         """Return all objects of a kind."""
         path = f"/objects/{quote(kind, safe='')}"
-        answer = await self._call("list", "GET", path, priority)
-        return self._parse("list", _parse_objects, answer.data)
+        response = await self._call("list", "GET", path, priority)
+        return self._parse("list", _parse_objects, response.data)
 
     async def put(
         self,
@@ -104,19 +104,19 @@
         expected_version: int,
         *,
         priority: Priority = Priority.NORMAL,
-    ) -> WriteAnswer:
+    ) -> WriteResult:
         """Write an object if it has the expected version (0: does not exist).
 
         Raises
         ------
         PlatformUnavailable
-            If there was no answer; `effect_unknown` tells whether the write may have
-            taken effect.
+            If there was no usable response; `is_effect_unknown` tells whether the write
+            may have taken effect.
         PlatformRefusal
             If the platform rejects the value.
         """
         body = {"value": value, "expected_version": expected_version}
-        return await self._write("put", "PUT", _path(kind, name), body, priority)
+        return await self._write("put", "PUT", _object_path(kind, name), body, priority)
 
     async def delete(
         self,
@@ -125,10 +125,12 @@
         expected_version: int,
         *,
         priority: Priority = Priority.NORMAL,
-    ) -> WriteAnswer:
+    ) -> WriteResult:
         """Delete an object if it has the expected version; raises like `put`."""
         body = {"expected_version": expected_version}
-        return await self._write("delete", "DELETE", _path(kind, name), body, priority)
+        return await self._write(
+            "delete", "DELETE", _object_path(kind, name), body, priority
+        )
 
     async def put_resolving(
         self,
@@ -139,13 +141,12 @@
         attempt: str,
         *,
         priority: Priority = Priority.NORMAL,
-        tries: int = RESOLVE_TRIES,
-    ) -> WriteAnswer:
-        """Write like `put`; after a lost answer, read to find out what happened.
+        max_failures: int = MAX_RESOLVE_FAILURES,
+    ) -> WriteResult:
+        """Write like `put`; after a lost response, read to resolve the outcome.
 
-        A write that is still on its way after its answer was lost cannot surprise a
-        later reader: it is repeated with the same expected version, and at most one
-        of the two takes effect.
+        A write whose response was lost may still arrive later. It is therefore repeated
+        with the same expected version, so that at most one of the two takes effect.
 
         Parameters
         ----------
@@ -153,47 +154,50 @@
             The value; its field ``attempt`` must be `attempt`.
         attempt : str
             Identifies this write among all writes of the object.
-        tries : int
-            Failed calls after which to give up.
+        max_failures : int
+            Number of failed calls after which to raise.
 
         Returns
         -------
         Written or Conflict
-            `Conflict` also if this write took effect and was replaced since.
+            `Conflict` also if this write took effect and has been replaced since.
 
         Raises
         ------
         PlatformUnavailable
-            If the outcome was not found within `tries` failed calls.
+            If the outcome was not resolved within `max_failures` failed calls.
         ValueError
-            If the value does not carry the attempt.
+            If the value's field ``attempt`` is not `attempt`.
         """
         if value.get("attempt") != attempt:
-            raise ValueError("the value does not carry the attempt")
-        unknown = False
-        for failures in range(1, tries + 1):
+            raise ValueError("the value's field 'attempt' is not this attempt")
+        is_effect_unknown = False
+        for failures in range(1, max_failures + 1):
             try:
-                if unknown:
-                    found = await self.get(kind, name, priority=priority)
-                    if found is not None and _carries(found, attempt):
-                        return Written(found.version)
-                    version = found.version if found is not None else 0
+                if is_effect_unknown:
+                    stored = await self.get(kind, name, priority=priority)
+                    if stored is not None and _has_attempt(stored, attempt):
+                        return Written(stored.version)
+                    version = stored.version if stored is not None else 0
                     if version != expected_version:
                         return Conflict(version)
-                answer = await self.put(
+                result = await self.put(
                     kind, name, value, expected_version, priority=priority
                 )
-                if isinstance(answer, Written) or not unknown:
-                    return answer
-                # The first write arrived late, or another one did: read once more.
+                if isinstance(result, Written) or not is_effect_unknown:
+                    return result
+                # A conflict with the late first write or with another one; the next
+                # read shows which.
             except PlatformUnavailable as error:
-                unknown = unknown or error.effect_unknown
-                if failures == tries:
+                is_effect_unknown = is_effect_unknown or error.is_effect_unknown
+                if failures == max_failures:
                     raise PlatformUnavailable(
-                        "put_resolving", self.url, unknown, error.reason
+                        "put_resolving", self.url, is_effect_unknown, error.reason
                     ) from error
                 await asyncio.sleep(backoff_ms(failures, self.random) / 1000)
-        raise PlatformUnavailable("put_resolving", self.url, True, "no result")
+        raise PlatformUnavailable(
+            "put_resolving", self.url, True, "conflict not resolved"
+        )
 
     async def watch(
         self,
@@ -210,23 +214,23 @@
         kinds : iterable of str
             The kinds to watch.
         after : int
-            Revision of the last answer; 0 returns all objects.
+            Revision of the last response; 0 returns all objects.
         timeout_ms : float
             Time in milliseconds that the platform waits for a change.
         """
         kind_fields = "".join(f"kind={quote(kind, safe='')}&" for kind in kinds)
         path = f"/watch?{kind_fields}after={after}&timeout_ms={timeout_ms:.0f}"
-        # The platform answers at once if it is asked for all objects.
+        # The platform responds to a request for all objects without waiting.
         wait_ms = timeout_ms if after > 0 else 0.0
-        answer = await self._call("watch", "GET", path, priority, wait_ms=wait_ms)
-        return self._parse("watch", _parse_watch, answer.data)
+        response = await self._call("watch", "GET", path, priority, wait_ms=wait_ms)
+        return self._parse("watch", _parse_watch, response.data)
 
     async def vms(
         self, *, priority: Priority = Priority.NORMAL
     ) -> tuple[VmRecord, ...]:
-        """Return the platform's lagging list of VMs."""
-        answer = await self._call("vms", "GET", "/vms", priority)
-        return self._parse("vms", _parse_vms, answer.data)
+        """Return the platform's list of VMs, which lags behind."""
+        response = await self._call("vms", "GET", "/vms", priority)
+        return self._parse("vms", _parse_vms, response.data)
 
     async def announce(
         self, vm: VmRecord, *, priority: Priority = Priority.NORMAL
@@ -249,10 +253,10 @@
         path: str,
         body: Mapping[str, object],
         priority: Priority,
-    ) -> WriteAnswer:
-        answer = await self._call(step, method, path, priority, body)
-        version = self._parse(step, _parse_version, answer.data, is_write=True)
-        return Conflict(version) if answer.status == 409 else Written(version)
+    ) -> WriteResult:
+        response = await self._call(step, method, path, priority, body)
+        version = self._parse(step, _parse_version, response.data, is_write=True)
+        return Conflict(version) if response.status == 409 else Written(version)
 
     async def _call(
         self,
@@ -262,21 +266,23 @@
         priority: Priority,
         body: Mapping[str, object] | None = None,
         wait_ms: float = 0.0,
-    ) -> _Answer:
-        while (pause_ms := take_call(self.budget, priority, self.clock.now_ms())) > 0:
+    ) -> _Response:
+        while (
+            pause_ms := acquire_call(self.budget, priority, self.clock.now_ms())
+        ) > 0:
             await asyncio.sleep(pause_ms / 1000)
         sent_ms = self.clock.now_ms()
         try:
-            answer = await self._send(step, method, path, body, wait_ms)
+            response = await self._send(step, method, path, body, wait_ms)
         except PlatformUnavailable:
             self.observe("unavailable", 0)
             raise
-        result = "conflict" if answer.status == 409 else "ok"
-        self.observe(result, answer.size)
-        self._note_contact(sent_ms, wait_ms, answer)
-        if answer.status in (200, 404, 409):
-            return answer
-        raise PlatformRefusal(step, self.url, answer.status, str(answer.data))
+        result = "conflict" if response.status == 409 else "ok"
+        self.observe(result, response.size)
+        self._record_contact(sent_ms, wait_ms, response)
+        if response.status in (200, 404, 409):
+            return response
+        raise PlatformRefusal(step, self.url, response.status, str(response.data))
 
     async def _send(
         self,
@@ -285,14 +291,14 @@
         path: str,
         body: Mapping[str, object] | None,
         wait_ms: float,
-    ) -> _Answer:
-        is_write = method not in READS
+    ) -> _Response:
+        is_write = method not in READ_METHODS
         timeout_s = (self.timeout_ms + wait_ms) / 1000
         try:
             async with self._open_session().request(
                 method,
                 self.url + path,
-                data=_send_once(body) if body is not None else None,
+                data=_stream_body(body) if body is not None else None,
                 timeout=aiohttp.ClientTimeout(total=timeout_s),
             ) as response:
                 if response.status >= 500 or response.status == 429:
@@ -300,7 +306,7 @@
                         step, self.url, is_write, f"status {response.status}"
                     )
                 text = await response.text()
-                return _Answer(response.status, _decode(text), len(text))
+                return _Response(response.status, _decode(text), len(text))
         except aiohttp.ClientConnectorError as error:
             raise PlatformUnavailable(step, self.url, False, str(error)) from error
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
@@ -318,7 +324,7 @@
         try:
             return parse(data)
         except (KeyError, TypeError, ValueError) as error:
-            reason = f"malformed answer: {error!r}"
+            reason = f"malformed response: {error!r}"
             raise PlatformUnavailable(step, self.url, is_write, reason) from error
 
     def _open_session(self) -> aiohttp.ClientSession:
@@ -326,24 +332,26 @@
             self.session = aiohttp.ClientSession()
         return self.session
 
-    def _note_contact(self, sent_ms: float, wait_ms: float, answer: _Answer) -> None:
-        """Date the answer by the earliest time at which it can have been produced.
+    def _record_contact(
+        self, sent_ms: float, wait_ms: float, response: _Response
+    ) -> None:
+        """Set `last_contact_ms` to the earliest time of the response's production.
 
-        A late answer must not make its data look fresh. A watch that ended without a
-        change was produced after the whole wait.
+        A delayed response must not make its data look fresh. The response of a watch
+        without changes was produced after the whole wait.
         """
         produced_ms = sent_ms
-        if wait_ms and answer.status == 200 and _is_unchanged(answer.data):
+        if wait_ms and response.status == 200 and _is_unchanged(response.data):
             produced_ms = min(sent_ms + wait_ms, self.clock.now_ms())
         if self.last_contact_ms is None or produced_ms > self.last_contact_ms:
             self.last_contact_ms = produced_ms
 
 
-async def _send_once(body: Mapping[str, object]) -> AsyncIterator[bytes]:
+async def _stream_body(body: Mapping[str, object]) -> AsyncIterator[bytes]:
     """Yield the body as a stream.
 
-    aiohttp silently repeats PUT and DELETE after a lost connection, which would show
-    the caller a conflict with its own write. It does not repeat a consumed stream.
+    aiohttp silently retries PUT and DELETE after a lost connection, and the caller
+    would get a conflict with its own write. It does not retry a consumed stream.
     """
     yield json.dumps(body).encode()
 
@@ -375,11 +383,11 @@
     return isinstance(data, dict) and data.get("objects") == []
 
 
-def _carries(found: PlatformObject, attempt: str) -> bool:
-    return found.value is not None and found.value.get("attempt") == attempt
+def _has_attempt(stored: PlatformObject, attempt: str) -> bool:
+    return stored.value is not None and stored.value.get("attempt") == attempt
 
 
-def _path(kind: str, name: str) -> str:
+def _object_path(kind: str, name: str) -> str:
     return f"/objects/{quote(kind, safe='')}/{quote(name, safe='')}"
 
 
@@ -398,12 +406,12 @@
     url : str
         Base URL.
     clock : Clock
-        Dates answers and refills the budget.
+        Clock of the budget and of `last_contact_ms`.
     budget : CallBudget, optional
-        Limit of calls of this process.
+        Limits the calls of this process.
     random : callable
         Random source of the backoff.
     timeout_ms : float
-        Limit of a call in milliseconds, in addition to the wait of a watch.
+        Timeout of a call in milliseconds, in addition to the wait of a watch.
     """
     return PlatformClient(url, clock, budget or CallBudget(), random, timeout_ms)
--- a/src/radishtrack/objects/records.py
+++ b/src/radishtrack/objects/records.py
@@ -1,4 +1,4 @@
-"""What the platform stores and answers."""
+"""Objects, VM records and results of the platform's API."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     version : int
         Changes with every write; 0 if the object does not exist.
     value : mapping or None
-        The content; None if the object was deleted.
+        The object's value; None if the object was deleted.
     """
 
     kind: str
@@ -32,7 +32,7 @@
 
 
 class VmState(enum.Enum):
-    """Whether a VM stays."""
+    """Whether a VM stays or is about to be removed."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -40,18 +40,18 @@
 
 @attrs.define(frozen=True)
 class VmRecord:
-    """An entry of the platform's lagging list of VMs.
+    """An entry of the platform's list of VMs, which lags behind.
 
     Parameters
     ----------
     id : str
         Identifier of the VM.
     zone, region : str
-        Where the VM runs.
+        Availability zone and region of the VM.
     state : VmState
         Whether the VM stays.
     peer_address : str
-        ``host:port`` of its node's peer protocol.
+        ``host:port`` at which its node serves peers.
     """
 
     id: str
@@ -70,24 +70,24 @@
 
 @attrs.define(frozen=True)
 class Conflict:
-    """The write did not take effect, since the object has this other version."""
+    """The write had no effect, since the object has this other version."""
 
     version: int
 
 
-WriteAnswer = Written | Conflict
+WriteResult = Written | Conflict
 
 
 @attrs.define(frozen=True)
 class WatchResponse:
-    """Changes since the revision that the watch named.
+    """Changes after the revision of a watch.
 
     Parameters
     ----------
     revision : int
-        The revision to continue from.
+        The revision from which to continue.
     objects : tuple of PlatformObject
-        Objects changed since, in order of their versions; a deleted one has no value.
+        Changed objects, in order of their versions; a deleted one has no value.
     """
 
     revision: int
@@ -95,7 +95,7 @@
 
 
 class PlatformUnavailable(Exception):
-    """The platform gave no usable answer.
+    """Raised when the platform gave no usable response.
 
     Parameters
     ----------
@@ -103,24 +103,26 @@
         The call that failed.
     peer : str
         URL of the platform.
-    effect_unknown : bool
+    is_effect_unknown : bool
         Whether a write may have taken effect, now or later.
     reason : str
-        What was seen.
+        Cause of the failure.
     """
 
     def __init__(
-        self, step: str, peer: str, effect_unknown: bool, reason: str = ""
+        self, step: str, peer: str, is_effect_unknown: bool, reason: str = ""
     ) -> None:
         super().__init__(f"platform unavailable: {reason} [step={step} at {peer}]")
         self.step = step
         self.peer = peer
-        self.effect_unknown = effect_unknown
+        self.is_effect_unknown = is_effect_unknown
         self.reason = reason
 
 
 class PlatformRefusal(Exception):
-    """The platform rejected a call for good, for example an oversized value.
+    """Raised when the platform rejects a call, for example for an oversized value.
+
+    Repeating the call does not help.
 
     Parameters
     ----------
@@ -145,11 +147,11 @@
 
 
 def parse_object(data: Mapping[str, Json]) -> PlatformObject:
-    """Return an object in an answer of the platform.
+    """Return an object from a response of the platform.
 
     Raises
     ------
-    ValueError
+    KeyError, ValueError
         If a field is missing or has another type.
     """
     value = data.get("value")
@@ -164,8 +166,8 @@
 
     Raises
     ------
-    ValueError
-        If the state is unknown.
+    KeyError, ValueError
+        If a field is missing or the state is unknown.
     """
     return VmRecord(
         id=str(data["id"]),
--- a/src/radishtrack/objects/watch.py
+++ b/src/radishtrack/objects/watch.py
@@ -1,4 +1,4 @@
-"""Follows objects of the platform with one pending call."""
+"""Watches objects of the platform with one pending call."""
 
 from __future__ import annotations
 
@@ -38,22 +38,22 @@
     Parameters
     ----------
     client : PlatformClient
-        The client; its `last_contact_ms` dates what was reported.
+        The client; its `last_contact_ms` shows how recent the reported state is.
     kinds : sequence of str
-        The kinds to follow with one pending call.
+        The kinds to watch.
     on_change : callable
-        Called with every answer that contains objects, and with the first one.
+        Called with each response that contains objects, and with the first one.
     on_contact : callable
-        Called after every call with whether the platform answered.
+        Called after each call with whether the platform responded.
     timeout_ms : float
         Time in milliseconds that the platform waits for a change. A pending call
-        shows no contact, so this bounds the age of `last_contact_ms`.
+        does not update `last_contact_ms`, so this bounds its age.
     """
     revision = failures = 0
-    first = True
+    is_first = True
     while True:
         try:
-            answer = await client.watch(kinds, revision, timeout_ms)
+            response = await client.watch(kinds, revision, timeout_ms)
         except (PlatformUnavailable, PlatformRefusal) as error:
             failures += 1
             on_contact(False)
@@ -64,8 +64,8 @@
         if failures:
             log_event(Event.PLATFORM_AVAILABLE, failures=failures)
         failures = 0
-        revision = answer.revision
-        if answer.objects or first:
-            on_change(answer)
-        first = False
+        revision = response.revision
+        if response.objects or is_first:
+            on_change(response)
+        is_first = False
         on_contact(True)
