--- a/src/radishtrack/platform/control_store.py
+++ b/src/radishtrack/platform/control_store.py
@@ -1,4 +1,4 @@
-"""The control store of the pooler on the platform's object store."""
+"""Implementation of the pooler's control store on the platform's object store."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     parse_catalog,
     parse_member,
     parse_node,
-    parse_usable,
+    parse_valid,
     render_node,
 )
 from radishtrack.platform.object_store import ObjectStoreClient, StoredObject
@@ -24,14 +24,14 @@
 CONFIG_NAME: Final = "main"
 MEMBERS_KIND: Final = "servers"
 FLEET_KIND: Final = "radishtrack"
-"""Kind of the system's own objects; one list returns them all."""
+"""Kind of all objects of the pooler itself, so that one call lists them."""
 NODE_PREFIX: Final = "node."
 DUTY_PREFIX: Final = "duty."
 TERM_PREFIX: Final = "term."
 SECRET_NAME: Final = "secret"
 SECRET_BYTES: Final = 32
-MAX_REPORTED: Final = 1_000
-"""Unusable entries that are remembered, so that each is logged once."""
+MAX_REPORTED_ENTRIES: Final = 1_000
+"""Limit of the invalid objects that are remembered in order to log each only once."""
 
 
 @attrs.define(eq=False)
@@ -42,9 +42,9 @@
     reported: set[tuple[str, str]] = attrs.field(factory=set)
 
     async def list_fleet(self) -> FleetListing:
-        """Return the registered nodes and the duties."""
+        """Return the registered nodes, the duties and the announced terms."""
         listing = await self.client.list_objects(FLEET_KIND)
-        nodes = parse_usable(
+        nodes = parse_valid(
             (item for item in listing.objects if item.name.startswith(NODE_PREFIX)),
             parse_node,
             self._report,
@@ -70,7 +70,7 @@
         await self.client.delete(FLEET_KIND, NODE_PREFIX + name)
 
     async def read_catalog(self) -> Catalog | None:
-        """Return the present configuration."""
+        """Return the current configuration; None if there is none."""
         stored = await self.client.get(CONFIG_KIND, CONFIG_NAME)
         if stored is None:
             return None
@@ -85,12 +85,12 @@
     async def list_members(self) -> tuple[Member, ...]:
         """Return the registered members whose entries are valid."""
         listing = await self.client.list_objects(MEMBERS_KIND)
-        return tuple(parse_usable(iter(listing.objects), parse_member, self._report))
+        return tuple(parse_valid(iter(listing.objects), parse_member, self._report))
 
     async def claim_duty(
         self, name: str, duty: Duty, holder: str, claim: str
     ) -> Duty | None:
-        """Replace a duty's record if it is still `duty`."""
+        """Replace a duty's record if it is still `duty`; otherwise return None."""
         stored_name = DUTY_PREFIX + name
         spec = {"holder": holder, "claim": claim}
         if duty.revision == 0:
@@ -102,11 +102,11 @@
         return Duty(holder, stored.revision, claim) if stored is not None else None
 
     async def announce_term(self, group: str, term: int) -> None:
-        """Tell all nodes that a promotion to a term may be ordered from now on."""
+        """Announce that a promotion to a term may be ordered from now on."""
         await self._write(TERM_PREFIX + group, {"term": term})
 
     async def read_secret(self) -> bytes:
-        """Return the secret of the fleet's peers, creating it if there is none."""
+        """Return the secret of the fleet's peers; create it if there is none."""
         spec = {"secret": secrets.token_hex(SECRET_BYTES)}
         stored = await self.client.get(FLEET_KIND, SECRET_NAME)
         if stored is None:
@@ -115,7 +115,7 @@
             stored = await self.client.get(FLEET_KIND, SECRET_NAME)
         try:
             if stored is None:
-                raise ValueError("the secret was created and is gone")
+                raise ValueError("the secret was deleted after its creation")
             return bytes.fromhex(stored.spec["secret"])
         except (KeyError, TypeError, ValueError) as error:
             raise StoreUnavailable(
@@ -126,16 +126,16 @@
         """Create or replace an object that only one node writes at a time."""
         if await self.client.create(FLEET_KIND, name, spec) is not None:
             return
-        present = await self.client.get(FLEET_KIND, name)
-        if present is None or (
-            await self.client.replace(FLEET_KIND, name, spec, present.revision) is None
+        stored = await self.client.get(FLEET_KIND, name)
+        if stored is None or (
+            await self.client.replace(FLEET_KIND, name, spec, stored.revision) is None
         ):
             raise StoreUnavailable("write", f"{name} changed", is_effect_unknown=False)
 
     def _report(self, name: str, error: Exception) -> None:
-        fault = (name, str(error))
-        if fault not in self.reported and len(self.reported) < MAX_REPORTED:
-            self.reported.add(fault)
+        report = (name, str(error))
+        if report not in self.reported and len(self.reported) < MAX_REPORTED_ENTRIES:
+            self.reported.add(report)
             log_event(Event.LISTING_INVALID, object=name, reason=error)
 
 
--- a/src/radishtrack/platform/documents.py
+++ b/src/radishtrack/platform/documents.py
@@ -1,4 +1,4 @@
-"""The operators' configuration and the members' entries, decoded into our types."""
+"""Decoding of the operators' configuration, members' entries and node records."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 """Whether a member in this state is leaving."""
 
 _T = TypeVar("_T")
-NotUsable = Callable[[str, Exception], None]
-"""Told the name of an object that can't be used, and why."""
+ReportInvalid = Callable[[str, Exception], None]
+"""Called with the name of an invalid object and the error."""
 
 
 class DocumentError(ValueError):
@@ -42,13 +42,13 @@
     Raises
     ------
     DocumentError
-        If it can't be understood.
+        If the configuration is invalid.
     """
     spec = stored.spec
     try:
         routes = [_parse_route(item) for item in spec["routes"]]
         organisations: dict[str, Organisation] = {}
-        owners: dict[bytes, Organisation] = {}
+        key_owners: dict[bytes, Organisation] = {}
         for item in spec["tenants"]:
             organisation = Organisation(
                 name=_text(item, "name"),
@@ -57,13 +57,13 @@
             )
             organisations[organisation.name] = organisation
             for key in item["apiKeys"]:
-                owners[digest_key(key)] = organisation
+                key_owners[digest_key(key)] = organisation
         groups = [_parse_group(item) for item in spec["services"]]
         return Catalog(
             version=_integer(spec, "version"),
             routes={route.database: route for route in routes},
             organisations=organisations,
-            key_owners=owners,
+            key_owners=key_owners,
             groups={group.name: group for group in groups},
             idle_transaction_ms=_number(spec["limits"], "txIdleMs"),
         )
@@ -75,12 +75,12 @@
     read_class = READ_CLASSES[item["kind"]]
     needs_age = read_class is not ReadClass.STRICT
     return Route(
-        # The name of the database that clients ask for.
+        # `host` is the database name to which clients connect.
         database=_text(item, "host"),
         group=_text(item, "service"),
         read_class=read_class,
         max_age_ms=_number(item, "maxStalenessMs") if needs_age else 0.0,
-        # Limits one statement; the objective is for the whole operation.
+        # Limit of one statement; the objective is for the whole operation.
         statement_timeout_ms=_number(item, "timeoutMs"),
         objective_ms=_number(item, "objectiveMs"),
         priority=_integer(item, "priority"),
@@ -104,7 +104,7 @@
     Raises
     ------
     DocumentError
-        If it is not a valid entry; it then names no member.
+        If the entry is invalid.
     """
     spec = stored.spec
     try:
@@ -118,15 +118,15 @@
             slots=_integer(spec, "slots"),
             is_leaving=STATES[spec["state"]],
             role=ROLES[spec["dbRole"]],
-            # A restart under the same name shows only here.
+            # Only this field changes on a restart under the same name.
             started_ms=_integer(spec, "born") if "born" in spec else 0,
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise DocumentError(f"entry of a member: {error!r}") from error
+        raise DocumentError(f"member entry: {error!r}") from error
 
 
 def render_node(node: NodeRecord) -> dict[str, object]:
-    """Return the object content of a node's record."""
+    """Return the spec of the object that holds a node's record."""
     return {
         "name": node.name,
         "host": node.host,
@@ -142,7 +142,7 @@
     Raises
     ------
     DocumentError
-        If it is not a valid record.
+        If the record is invalid.
     """
     spec = stored.spec
     try:
@@ -154,20 +154,20 @@
             started_ms=_integer(spec, "startedMs"),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise DocumentError(f"record of a node: {error!r}") from error
+        raise DocumentError(f"node record: {error!r}") from error
 
 
-def parse_usable(
+def parse_valid(
     stored: Iterator[StoredObject],
     parse: Callable[[StoredObject], _T],
-    not_usable: NotUsable,
+    report_invalid: ReportInvalid,
 ) -> Iterator[_T]:
-    """Yield what can be parsed and report the rest."""
+    """Yield the valid objects, parsed, and report the others."""
     for item in stored:
         try:
             yield parse(item)
         except DocumentError as error:
-            not_usable(item.name, error)
+            report_invalid(item.name, error)
 
 
 def parse_address(text: str) -> tuple[str, int]:
@@ -176,7 +176,7 @@
     Raises
     ------
     ValueError
-        If the text is not of this form.
+        If the text does not have this form.
     """
     host, colon, port = text.rpartition(":")
     if not host or not colon or not port.isdecimal() or not 0 < int(port) < 65536:
@@ -187,14 +187,14 @@
 def _text(item: Any, field: str) -> str:
     value = item[field]
     if not isinstance(value, str) or not value:
-        raise ValueError(f"{field} is not a text")
+        raise ValueError(f"{field} is not a non-empty string")
     return value
 
 
 def _integer(item: Any, field: str) -> int:
     value = item[field]
     if isinstance(value, bool) or not isinstance(value, int):
-        raise ValueError(f"{field} is not a whole number")
+        raise ValueError(f"{field} is not an integer")
     return value
 
 
--- a/src/radishtrack/platform/frontend.py
+++ b/src/radishtrack/platform/frontend.py
@@ -1,4 +1,4 @@
-"""Serves clients in the platform's line protocol, one task for each connection."""
+"""Serves clients over the platform's line protocol, one task per connection."""
 
 from __future__ import annotations
 
@@ -23,29 +23,29 @@
 from radishtrack.pooler.tasks import start_task
 
 STARTUP_TIMEOUT_MS: Final = 5_000.0
-"""A connection that sends nothing is closed; clients give up after 2 s."""
-BACKLOG: Final = 512
-"""Connections that wait to be accepted; a full queue costs clients seconds."""
+"""Time for the startup message; clients themselves give up after 2 s."""
+ACCEPT_BACKLOG: Final = 512
+"""Length of the accept queue; a full one delays new connections by seconds."""
 
 
 @attrs.define(eq=False)
 class ClientConnection:
-    """One client: its connection, its session and whether it waits for a request."""
+    """A client's connection and session, and whether its task waits for a request."""
 
     connection: LineConnection
     session: ClientSession | None = None
     is_waiting: bool = False
 
     @property
-    def may_close(self) -> bool:
-        """Whether closing now ends no request and no transaction."""
+    def is_closable(self) -> bool:
+        """Whether closing interrupts neither a request nor a transaction."""
         is_idle = self.session is None or self.session.state is TransactionState.IDLE
         return self.is_waiting and is_idle and not self.connection.has_input
 
 
 @attrs.define(eq=False)
 class Frontend:
-    """All clients of a node; construct it with `start_frontend`."""
+    """Clients of a node; construct it with `start_frontend`."""
 
     node: Node
     server: asyncio.Server | None = None
@@ -60,15 +60,15 @@
         task.add_done_callback(self.tasks.discard)
 
     def stop_accepting(self) -> None:
-        """Close the listening socket; open connections go on."""
+        """Close the listening socket; open connections stay open."""
         if self.server is not None:
             self.server.close()
 
     def close_idle(self) -> None:
-        """Close the connections without a request, now and after each answer."""
+        """Close idle connections, now and from now on after each response."""
         self.is_closing_idle = True
         for client in tuple(self.clients):
-            if client.may_close:
+            if client.is_closable:
                 client.connection.close()
 
     async def _serve(self, connection: LineConnection) -> None:
@@ -96,15 +96,15 @@
         except TimeoutError:
             return
         database, key = parse_startup(line)
-        opened = await self.node.open_session(database, key)
-        if isinstance(opened, Denied):
-            connection.write(encode_line(format_error(opened.refusal, opened.detail)))
+        result = await self.node.open_session(database, key)
+        if isinstance(result, Denied):
+            connection.write(encode_line(format_error(result.refusal, result.detail)))
             return
-        client.session = opened
-        connection.write(encode_line(format_ready(opened.state)))
+        client.session = result
+        connection.write(encode_line(format_ready(result.state)))
 
     async def _serve_next(self, client: ClientConnection) -> bool:
-        """Serve one request; return whether the session goes on."""
+        """Serve one request; return whether to keep the session."""
         session, connection = client.session, client.connection
         assert session is not None
         is_idle = session.state is TransactionState.IDLE and not connection.has_input
@@ -113,8 +113,8 @@
         line = await self._read_request(client)
         if line == "TERMINATE":
             return False
-        answer = await session.handle(parse_query(line))
-        connection.write(encode_line(format_client_response(answer)))
+        response = await session.handle(parse_query(line))
+        connection.write(encode_line(format_client_response(response)))
         return not session.must_close
 
     async def _read_request(self, client: ClientConnection) -> str:
@@ -135,10 +135,10 @@
 
 
 async def start_frontend(node: Node, host: str, port: int) -> Frontend:
-    """Listen for clients."""
+    """Start to listen for clients."""
     frontend = Frontend(node)
     loop = asyncio.get_running_loop()
     frontend.server = await loop.create_server(
-        lambda: LineConnection(frontend.accept), host, port, backlog=BACKLOG
+        lambda: LineConnection(frontend.accept), host, port, backlog=ACCEPT_BACKLOG
     )
     return frontend
--- a/src/radishtrack/platform/lines.py
+++ b/src/radishtrack/platform/lines.py
@@ -1,4 +1,4 @@
-"""A TCP connection that carries lines, for clients and for members."""
+"""TCP connection of the line protocol, for clients and for members."""
 
 from __future__ import annotations
 
@@ -12,42 +12,42 @@
 HIGH_WATER_BYTES: Final = 2 * MAX_LINE_BYTES
 """Unread input at which the connection stops reading."""
 MAX_UNSENT_BYTES: Final = 4 * MAX_LINE_BYTES
-"""Unsent output at which a peer that does not read loses its connection."""
+"""Unsent output at which the connection to a peer that does not read is aborted."""
 USER_TIMEOUT_MS: Final = 3_000
-"""The kernel gives up a connection whose peer acknowledges nothing for so long; members
-drop connections to dark hosts after the same time."""
-KEEPALIVE_S: Final = 2
-"""Pause between keep-alive probes, so that an idle connection to a dark host ends."""
+"""Time after which the kernel closes a connection whose peer acknowledges nothing;
+members close connections to unreachable hosts after the same time."""
+KEEPALIVE_INTERVAL_S: Final = 2
+"""Interval of keep-alive probes, which end idle connections to unreachable hosts."""
 
 
 class ConnectionEnded(Exception):
-    """Raised when the other side has closed, or the line is too long."""
+    """Raised when the connection has ended or a line is too long."""
 
 
 class LineConnection(asyncio.Protocol):
-    """Splits input into lines; one reader at a time."""
+    """Splits input into lines; `read_line` may have one caller at a time."""
 
     def __init__(self, on_open: Callable[[LineConnection], None] | None = None) -> None:
         self.on_open = on_open
         self.transport: asyncio.Transport | None = None
         self.buffer = bytearray()
-        self.scanned = 0
-        self.ended = False
+        self.scanned_bytes = 0
+        self.has_ended = False
         self.waiter: asyncio.Future[None] | None = None
         self.is_paused = False
         self.on_end: Callable[[], None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport over."""
+        """Set socket options and call `on_open`."""
         self.transport = cast("asyncio.Transport", transport)
-        connected = transport.get_extra_info("socket")
-        if connected is not None:
-            _set_options(connected)
+        sock = transport.get_extra_info("socket")
+        if sock is not None:
+            _set_options(sock)
         if self.on_open is not None:
             self.on_open(self)
 
     def data_received(self, data: bytes) -> None:
-        """Keep input for `read_line`."""
+        """Buffer input for `read_line`."""
         self.buffer += data
         if len(self.buffer) > HIGH_WATER_BYTES and self.transport is not None:
             self.is_paused = True
@@ -55,14 +55,14 @@
         self._wake()
 
     def eof_received(self) -> bool:
-        """Note that the other side sends nothing more."""
-        self.ended = True
+        """Record the end of input; the transport then closes."""
+        self.has_ended = True
         self._wake()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note that the connection has ended."""
-        self.ended = True
+        """Record the end of the connection and call `on_end`."""
+        self.has_ended = True
         self._wake()
         on_end, self.on_end = self.on_end, None
         if on_end is not None:
@@ -71,27 +71,27 @@
     @property
     def is_closed(self) -> bool:
         """Whether the connection has ended or is being closed."""
-        return self.ended or self.transport is None or self.transport.is_closing()
+        return self.has_ended or self.transport is None or self.transport.is_closing()
 
     @property
     def has_input(self) -> bool:
-        """Whether input has arrived that nobody has read."""
+        """Whether unread input is buffered."""
         return bool(self.buffer)
 
     async def read_line(self) -> str:
-        """Return the next line without its end.
+        """Return the next line without its line ending.
 
         Raises
         ------
         ConnectionEnded
-            If the connection ended before the end of the line.
+            If the connection ended before the line did, or the line is too long.
         """
         while True:
-            end = self.buffer.find(b"\n", self.scanned)
+            end = self.buffer.find(b"\n", self.scanned_bytes)
             if end >= 0:
-                return self._take_line(end)
-            self.scanned = len(self.buffer)
-            if self.scanned > MAX_LINE_BYTES:
+                return self._pop_line(end)
+            self.scanned_bytes = len(self.buffer)
+            if self.scanned_bytes > MAX_LINE_BYTES:
                 raise ConnectionEnded("line is too long")
             if self.is_closed:
                 raise ConnectionEnded("connection closed")
@@ -111,23 +111,23 @@
             self.transport.abort()
 
     def close(self) -> None:
-        """Close after sending what is left."""
+        """Close after sending buffered output."""
         self.on_end = None
         if self.transport is not None:
             self.transport.close()
         self._wake()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close without sending buffered output."""
         self.on_end = None
         if self.transport is not None:
             self.transport.abort()
         self._wake()
 
-    def _take_line(self, end: int) -> str:
+    def _pop_line(self, end: int) -> str:
         line = bytes(self.buffer[:end])
         del self.buffer[: end + 1]
-        self.scanned = 0
+        self.scanned_bytes = 0
         if len(line) > MAX_LINE_BYTES:
             raise ConnectionEnded("line is too long")
         return line.removesuffix(b"\r").decode("utf-8", "surrogateescape")
@@ -143,14 +143,14 @@
 
 
 def encode_line(text: str) -> bytes:
-    """Return a line with its end."""
+    """Return an encoded line with its line ending."""
     return text.encode("utf-8", "surrogateescape") + b"\r\n"
 
 
-def _set_options(connected: socket.socket) -> None:
-    connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
-    connected.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_S)
-    connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_S)
-    connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2)
+def _set_options(sock: socket.socket) -> None:
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2)
--- a/src/radishtrack/platform/main.py
+++ b/src/radishtrack/platform/main.py
@@ -1,4 +1,4 @@
-"""Entry point of a node on the platform."""
+"""Command line entry point of a node on the platform."""
 
 from __future__ import annotations
 
@@ -34,9 +34,9 @@
 from radishtrack.pooler.request_log import make_request_log
 
 SETTINGS_POLL_S: Final = 2.0
-"""Pause between looks at the settings file, which may change without a signal."""
+"""Interval of checks of the settings file, which may change without a signal."""
 STOP_POLL_S: Final = 0.1
-"""Pause between looks at what a stopping node still does."""
+"""Interval of checks whether a stopping node may exit."""
 EXIT_CODE_SETTINGS: Final = 2
 
 
@@ -100,28 +100,28 @@
         frontend=settings.frontend,
         store=settings.store,
     )
-    running = asyncio.create_task(node.run())
-    reload_wanted, stop_wanted = asyncio.Event(), asyncio.Event()
+    node_task = asyncio.create_task(node.run())
+    reload_requested, stop_requested = asyncio.Event(), asyncio.Event()
     loop = asyncio.get_running_loop()
-    loop.add_signal_handler(signal.SIGHUP, reload_wanted.set)
-    loop.add_signal_handler(signal.SIGTERM, stop_wanted.set)
-    reloading = asyncio.create_task(_follow_settings(node, path, reload_wanted))
-    stopping = asyncio.create_task(stop_wanted.wait())
-    await asyncio.wait((running, stopping), return_when=asyncio.FIRST_COMPLETED)
-    if running.done():
-        error = running.exception()
+    loop.add_signal_handler(signal.SIGHUP, reload_requested.set)
+    loop.add_signal_handler(signal.SIGTERM, stop_requested.set)
+    reload_task = asyncio.create_task(_follow_settings(node, path, reload_requested))
+    stop_task = asyncio.create_task(stop_requested.wait())
+    await asyncio.wait((node_task, stop_task), return_when=asyncio.FIRST_COMPLETED)
+    if node_task.done():
+        error = node_task.exception()
         log_event(Event.TASK_FAILED, reason=repr(error))
         sys.exit(1)
     await stop_node(node, frontend)
-    reloading.cancel()
+    reload_task.cancel()
     log_event(Event.NODE_STOPPED, node=settings.node, sessions=len(node.sessions))
     sys.stdout.flush()
-    # Waiting for the tasks of connections that go on could outlast the grace period.
+    # Waiting for the tasks of open connections could exceed the grace period.
     os._exit(0)
 
 
 async def stop_node(node: Node, frontend: Frontend) -> None:
-    """Take no new work, let open work end, and return when the process may exit."""
+    """Stop accepting clients, let requests finish, return when the process may exit."""
     plan = node.begin_stop()
     while (now_ms := node.clock.now_ms()) < plan.exit_ms:
         if now_ms >= plan.accept_until_ms:
@@ -133,30 +133,30 @@
 
 
 async def _follow_settings(
-    node: Node, path: Path, reload_wanted: asyncio.Event
+    node: Node, path: Path, reload_requested: asyncio.Event
 ) -> None:
-    """Read the settings again on SIGHUP, or when the file has changed."""
-    known = _describe(path)
+    """Reload the settings on SIGHUP and after changes of the file."""
+    loaded_version = _read_file_version(path)
     while True:
         try:
             async with asyncio.timeout(SETTINGS_POLL_S):
-                await reload_wanted.wait()
+                await reload_requested.wait()
         except TimeoutError:
-            if _describe(path) == known:
+            if _read_file_version(path) == loaded_version:
                 continue
-        reload_wanted.clear()
+        reload_requested.clear()
         try:
             settings = read_settings(path)
         except SettingsError as error:
-            # The file may be half written; it is read again at the next look.
+            # The file may be half written; the next check reads it again.
             log_event(Event.SETTINGS_INVALID, path=path, reason=error)
             continue
-        known = _describe(path)
+        loaded_version = _read_file_version(path)
         node.options = _make_options(settings, node.options.node)
         log_event(Event.SETTINGS_READ, grace_ms=settings.grace_ms, store=settings.store)
 
 
-def _describe(path: Path) -> tuple[int, int]:
+def _read_file_version(path: Path) -> tuple[int, int]:
     try:
         status = path.stat()
     except OSError:
--- a/src/radishtrack/platform/member_link.py
+++ b/src/radishtrack/platform/member_link.py
@@ -1,4 +1,4 @@
-"""Connections to members in the platform's line protocol."""
+"""Connections to members over the platform's line protocol."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 )
 from radishtrack.session.position import Position
 
-REPORTING: Final = (AskStatus, Fence, Unfence, StepDown)
-"""Statements that are answered by a status row."""
-MAX_ANSWER_LINES: Final = 10_000
-"""An answer with more lines is given up, which bounds its memory."""
+STATUS_STATEMENTS: Final = (AskStatus, Fence, Unfence, StepDown)
+"""Statements whose result is a status row."""
+MAX_RESPONSE_LINES: Final = 10_000
+"""Limit of the lines of a response, which bounds its memory."""
 
 
 @attrs.define(eq=False)
@@ -44,7 +44,7 @@
 
     @property
     def is_closed(self) -> bool:
-        """Whether the connection has ended, or sent something unasked."""
+        """Whether the connection has ended or received unsolicited input."""
         return self.connection.is_closed or self.connection.has_input
 
     async def run(
@@ -57,19 +57,19 @@
         try:
             self.connection.write(encode_line(format_query(statement, floor)))
             async with asyncio.timeout(timeout_ms / 1000):
-                lines = await self._read_answer()
+                lines = await self._read_response()
             return parse_member_response(
-                lines, has_report=isinstance(statement, REPORTING)
+                lines, has_report=isinstance(statement, STATUS_STATEMENTS)
             )
         except TimeoutError as error:
             self.connection.abort()
-            reason = f"no answer within {timeout_ms:.0f} ms"
+            reason = f"no response within {timeout_ms:.0f} ms"
             raise LinkLost(reason, is_sent=True) from error
         except (ConnectionEnded, WireError) as error:
             self.connection.abort()
             raise LinkLost(str(error), is_sent=True) from error
         except BaseException:
-            # The answer may still arrive and must not be taken for a later one.
+            # The response may still arrive; the next statement must not read it.
             self.connection.abort()
             raise
 
@@ -78,18 +78,18 @@
         self.connection.on_end = on_end
 
     def close(self) -> None:
-        """Close the connection; the member rolls back."""
+        """Close the connection; the member rolls back an open transaction."""
         if not self.connection.is_closed:
             self.connection.write(encode_line("TERMINATE"))
         self.connection.close()
 
-    async def _read_answer(self) -> list[str]:
+    async def _read_response(self) -> list[str]:
         lines: list[str] = []
-        while len(lines) < MAX_ANSWER_LINES:
+        while len(lines) < MAX_RESPONSE_LINES:
             lines.append(await self.connection.read_line())
             if lines[-1].startswith("READY "):
                 return lines
-        raise WireError("answer has too many lines")
+        raise WireError("response has too many lines")
 
 
 async def open_wire_link(
@@ -119,7 +119,8 @@
         raise LinkRefused(str(error)) from error
     except OSError as error:
         _abort(connection)
-        # Members also reset connections beyond their limit, which proves nothing.
+        # Only a refused connection shows that nothing listens: members also reset
+        # connections beyond their limit.
         is_dead = error.errno == errno.ECONNREFUSED
         raise LinkRefused(str(error), is_dead=is_dead) from error
     except asyncio.CancelledError:
--- a/src/radishtrack/platform/object_store.py
+++ b/src/radishtrack/platform/object_store.py
@@ -13,13 +13,13 @@
 from radishtrack.pooler.ports import StoreUnavailable
 
 CALL_TIMEOUT_MS: Final = 1_200.0
-"""The store answers in milliseconds, and in a few hundred when it is slow; a connection
-that has gone silent has to be given up well within the bound on configurations."""
+"""The store responds in milliseconds, or in a few hundred when it is slow. A call on an
+unresponsive connection must fail well within the bound on configuration changes."""
 IDLE_CONNECTION_S: Final = 5.0
-"""Unused connections are closed before a peer in between forgets them."""
+"""Idle connections are closed before an intermediary drops them."""
 MAX_PAGES: Final = 200
-"""Pages of a list, which end a list that never does."""
-OK: Final = (200, 201)
+"""Limit of the pages of a list, in case the store always reports more."""
+OK_STATUSES: Final = (200, 201)
 NOT_FOUND: Final = 404
 CONFLICT: Final = 409
 
@@ -31,11 +31,11 @@
     Parameters
     ----------
     name : str
-        Name, unique in its kind.
+        Name, unique within its kind.
     revision : int
-        Of its last change.
+        Revision of its last change.
     spec : object
-        Its content, as decoded from JSON.
+        Its content, decoded from JSON.
     """
 
     name: str
@@ -45,7 +45,7 @@
 
 @attrs.frozen
 class ObjectList:
-    """All objects of a kind, with the store's revision when the list began."""
+    """All objects of a kind, with the store's revision at the first page."""
 
     objects: tuple[StoredObject, ...]
     revision: int
@@ -53,14 +53,14 @@
 
 @attrs.define(eq=False)
 class ObjectStoreClient:
-    """Calls of one process; every call raises `StoreUnavailable`.
+    """Client of one process; every call can raise `StoreUnavailable`.
 
     Parameters
     ----------
     address : str
         ``host:port`` of the store.
     timeout_ms : float
-        Limit of one call in milliseconds.
+        Timeout of one call in milliseconds.
     """
 
     address: str
@@ -76,13 +76,13 @@
             query = f"?after={quote(after, safe='')}" if after else ""
             status, data = await self._call("list", "GET", _path(kind) + query)
             try:
-                if status not in OK:
+                if status not in OK_STATUSES:
                     raise StoreUnavailable(
                         "list", f"status {status}", is_effect_unknown=False
                     )
                 page = [_parse_object(item) for item in data["items"]]
                 has_more = bool(data["hasMore"])
-                # A later page may be newer; the list is complete up to the first one.
+                # Later pages may be newer; the list is complete up to this revision.
                 revision = int(data["atRev"]) if revision is None else revision
             except (KeyError, TypeError, ValueError) as error:
                 raise _malformed("list", error) from error
@@ -100,7 +100,7 @@
         return self._expect_object("get", status, data)
 
     async def create(self, kind: str, name: str, spec: object) -> StoredObject | None:
-        """Create an object; None if it exists already."""
+        """Create an object; return None if it exists already."""
         body = {"meta": {"name": name}, "spec": spec}
         status, data = await self._call("create", "POST", _path(kind), body)
         if status == CONFLICT:
@@ -110,7 +110,7 @@
     async def replace(
         self, kind: str, name: str, spec: object, revision: int
     ) -> StoredObject | None:
-        """Replace an object of a revision; None if it has another one or is gone."""
+        """Replace an object at a revision; return None if it changed or was deleted."""
         body = {"meta": {"name": name, "revision": revision}, "spec": spec}
         status, data = await self._call("replace", "PUT", _path(kind, name), body)
         if status in (CONFLICT, NOT_FOUND):
@@ -118,9 +118,9 @@
         return self._expect_object("replace", status, data)
 
     async def delete(self, kind: str, name: str) -> None:
-        """Delete an object, if it exists."""
+        """Delete an object if it exists."""
         status, _ = await self._call("delete", "DELETE", _path(kind, name))
-        if status not in (*OK, NOT_FOUND):
+        if status not in (*OK_STATUSES, NOT_FOUND):
             raise StoreUnavailable(
                 "delete", f"status {status}", is_effect_unknown=False
             )
@@ -146,7 +146,7 @@
                 timeout=aiohttp.ClientTimeout(total=self.timeout_ms / 1000),
             ) as response:
                 if response.status >= 500 or response.status == 429:
-                    # Both say that nothing was done.
+                    # With either status the store has changed nothing.
                     raise StoreUnavailable(
                         step, f"status {response.status}", is_effect_unknown=False
                     )
@@ -159,7 +159,7 @@
             raise StoreUnavailable(step, reason, is_effect_unknown=is_write) from error
 
     def _expect_object(self, step: str, status: int, data: Any) -> StoredObject:
-        if status not in OK:
+        if status not in OK_STATUSES:
             raise StoreUnavailable(step, f"status {status}", is_effect_unknown=False)
         try:
             return _parse_object(data)
@@ -185,5 +185,5 @@
 
 def _malformed(step: str, error: Exception) -> StoreUnavailable:
     return StoreUnavailable(
-        step, f"malformed answer: {error!r}", is_effect_unknown=False
+        step, f"malformed response: {error!r}", is_effect_unknown=False
     )
--- a/src/radishtrack/platform/promotion_order.py
+++ b/src/radishtrack/platform/promotion_order.py
@@ -1,4 +1,4 @@
-"""Orders promotions at the platform."""
+"""Promotion orders to the platform."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 from radishtrack.pooler.ports import PromoteMember, PromotionResult
 
 ORDER_TIMEOUT_MS: Final = 800.0
-"""The platform answers in milliseconds; without an answer the members tell."""
+"""The platform responds in milliseconds; without a response the members' reports show
+whether the promotion took place."""
 OK: Final = 200
 
 
 def make_promote_member(address: str) -> PromoteMember:
-    """Return the call that orders a promotion at ``host:port``."""
+    """Return a function that orders promotions at ``host:port``."""
 
     async def promote(
         group: str, member: str, holder: str, token: int
--- a/src/radishtrack/platform/settings.py
+++ b/src/radishtrack/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, decoded and checked."""
+"""Parsing and validation of the platform's settings file."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from radishtrack.platform.documents import parse_address
 
 SETTINGS_VARIABLE: Final = "RADISHTRACK_SETTINGS"
-KEY_AGE_SHARE: Final = 0.6
-"""Part of the bound on revoked keys after which a node that can't confirm its copy
-stops: nothing is expected of it from then on, and the rest is margin."""
-SECOND_MS: Final = 1_000.0
+KEY_AGE_LIMIT_FRACTION: Final = 0.6
+"""Fraction of the bound on revoked keys after which a node that can't confirm its copy
+refuses keys. It is not expected to serve from then on; the rest is margin."""
+MS_PER_S: Final = 1_000.0
 
 
 class SettingsError(ValueError):
-    """Raised for a settings file that can't be used."""
+    """Raised for a settings file that can't be read or is invalid."""
 
 
 @attrs.frozen
 class PlatformSettings:
-    """What a process is told about itself and the platform.
+    """Settings of one process: its own addresses and those of the platform.
 
     Parameters
     ----------
@@ -34,7 +34,7 @@
     zone : str
         Availability zone.
     frontend, ready : tuple of str and int
-        Addresses for clients and for the balancer's probe.
+        Addresses for clients and for the load balancer's probe.
     peer_port : int
         Port for peers.
     store : str
@@ -44,7 +44,7 @@
     grace_ms : float
         Time between SIGTERM and SIGKILL.
     key_age_limit_ms : float or None
-        Age of the configuration from which on keys are refused; None without a bound.
+        Age of the configuration above which keys are refused; None without a bound.
     """
 
     node: str
@@ -65,7 +65,7 @@
     Raises
     ------
     SettingsError
-        If the text is not complete, or a field is missing or of another type.
+        If the text is not valid JSON, or a field is missing or of another type.
     """
     try:
         data: Any = json.loads(text)
@@ -78,12 +78,12 @@
             zone=_text(data["zone"]),
             frontend=parse_address(data["listen"]["frontend"]),
             ready=parse_address(data["listen"]["ready"]),
-            # First and last of a range of free ports.
+            # `internalPorts` holds the first and last port of a free range.
             peer_port=int(data["internalPorts"][0]),
             store=_address(data["platform"]["address"]),
             orders=_address(data["cloudApi"]["address"]),
-            grace_ms=float(bounds["graceS"]) * SECOND_MS,
-            key_age_limit_ms=KEY_AGE_SHARE * revoke_ms if is_strict else None,
+            grace_ms=float(bounds["graceS"]) * MS_PER_S,
+            key_age_limit_ms=KEY_AGE_LIMIT_FRACTION * revoke_ms if is_strict else None,
         )
     except (KeyError, TypeError, ValueError, IndexError, AttributeError) as error:
         raise SettingsError(f"settings: {error!r}") from error
@@ -95,7 +95,7 @@
     Raises
     ------
     SettingsError
-        If the file can't be read or used.
+        If the file can't be read or is invalid.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -106,7 +106,7 @@
 
 def _text(value: Any) -> str:
     if not isinstance(value, str) or not value:
-        raise ValueError(f"not a text: {value!r}")
+        raise ValueError(f"not a non-empty string: {value!r}")
     return value
 
 
--- a/src/radishtrack/platform/wire.py
+++ b/src/radishtrack/platform/wire.py
@@ -1,4 +1,4 @@
-"""Words of the platform's line protocol, decoded into typed statements and answers."""
+"""Messages of the platform's line protocol, decoded into typed statements and back."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 )
 from radishtrack.session.position import Position
 
-OWN_ID: Final = "-"
-"""Identifier of statements that no client sent."""
+INTERNAL_STATEMENT_ID: Final = "-"
+"""Identifier of statements of the node itself."""
 NO_SIGNATURE: Final = "-"
 
-CODES: Final = {
+ERROR_CODES: Final = {
     Refusal.NO_DATABASE: "NODB",
     Refusal.NO_ACCESS: "NOAUTH",
     Refusal.BUSY: "BUSY",
@@ -49,33 +49,33 @@
     Refusal.OUTCOME_UNKNOWN: "INDOUBT",
     Refusal.MALFORMED: "MALFORMED",
 }
-_REFUSALS: Final = {code: refusal for refusal, code in CODES.items()}
-_STATES: Final = {
+_REFUSALS: Final = {code: refusal for refusal, code in ERROR_CODES.items()}
+_STATE_LETTERS: Final = {
     TransactionState.IDLE: "I",
     TransactionState.OPEN: "T",
     TransactionState.FAILED: "E",
 }
-_STATES_BY_LETTER: Final = {letter: state for state, letter in _STATES.items()}
+_STATES_BY_LETTER: Final = {letter: state for state, letter in _STATE_LETTERS.items()}
 _ROLES: Final = {"primary": Role.PRIMARY, "replica": Role.REPLICA}
-STATUS_FIELDS: Final = 5
-"""Fields of a status row that are used: role, term, position, fenced term, lag."""
+STATUS_FIELD_COUNT: Final = 5
+"""Number of used fields of a status row: role, term, position, fenced term, lag."""
 
 
 class WireError(ValueError):
-    """Raised for a message that is not of this protocol."""
+    """Raised for a malformed or unexpected message."""
 
 
 def parse_startup(line: str) -> tuple[str, str | None]:
-    """Return the database and the key of a client's first message.
+    """Return the database and the key in a client's first message.
 
     Raises
     ------
     WireError
-        If the line is another message.
+        If the line is not a startup message.
     """
     words = line.split(" ")
     if words[0] != "STARTUP" or len(words) not in (2, 3) or not words[1]:
-        raise WireError("a session starts with STARTUP, a database and perhaps a key")
+        raise WireError("expected STARTUP with a database and an optional key")
     return words[1], words[2] if len(words) == 3 else None
 
 
@@ -85,16 +85,16 @@
     Raises
     ------
     WireError
-        If the line is not a query at all.
+        If the line is not a query message.
     """
     word, _, rest = line.partition(" ")
     statement_id, _, text = rest.partition(" ")
     if word != "QUERY" or not statement_id or not text:
         raise WireError(f"unexpected message {word[:20]!r}")
-    return _parse_text(statement_id, text)
+    return _parse_statement(statement_id, text)
 
 
-def _parse_text(statement_id: str, text: str) -> ClientStatement:
+def _parse_statement(statement_id: str, text: str) -> ClientStatement:
     words = text.split(" ")
     match words:
         case ["BEGIN"]:
@@ -121,37 +121,37 @@
             return Unintelligible(f"unknown statement {words[0][:20]!r}")
 
 
-def format_client_response(answer: ClientAnswer) -> str:
-    """Return the lines that answer a client's statement."""
-    lines = [f"DATAROW {row}" for row in answer.rows if answer.refusal is None]
-    if answer.refusal is None:
-        lines.append(f"COMPLETE {answer.signature or NO_SIGNATURE}")
+def format_client_response(response: ClientAnswer) -> str:
+    """Return the lines of the response to a client's statement."""
+    lines = [f"DATAROW {row}" for row in response.rows if response.refusal is None]
+    if response.refusal is None:
+        lines.append(f"COMPLETE {response.signature or NO_SIGNATURE}")
     else:
-        detail = " ".join(answer.detail.split()) or answer.refusal.value
-        lines.append(f"ERROR {CODES[answer.refusal]} {detail}")
-    lines.append(format_ready(answer.state))
+        detail = " ".join(response.detail.split()) or response.refusal.value
+        lines.append(f"ERROR {ERROR_CODES[response.refusal]} {detail}")
+    lines.append(format_ready(response.state))
     return "\r\n".join(lines)
 
 
 def format_ready(state: TransactionState) -> str:
-    """Return the message that ends an answer to a client."""
-    return f"READY {_STATES[state]} -"
+    """Return the message that ends a response to a client."""
+    return f"READY {_STATE_LETTERS[state]} -"
 
 
 def format_error(refusal: Refusal, detail: str) -> str:
     """Return an error message to a client."""
-    return f"ERROR {CODES[refusal]} {detail}"
+    return f"ERROR {ERROR_CODES[refusal]} {detail}"
 
 
 def format_query(statement: MemberStatement, floor: Position | None) -> str:
-    """Return the message for a member.
+    """Return the message that sends a statement to a member.
 
     Parameters
     ----------
     statement : MemberStatement
         The statement.
     floor : Position or None
-        Position that the member's log has to contain.
+        Position that the member's log must contain.
     """
     since = f"SINCE {floor.term}.{floor.sequence} " if floor is not None else ""
     match statement:
@@ -161,35 +161,35 @@
             return f"QUERY {statement_id} {since}EXECUTE {name} {arguments}"
         case Begin(is_read_only):
             mode = "BEGIN READ" if is_read_only else "BEGIN"
-            return f"QUERY {OWN_ID} {since}{mode}"
+            return f"QUERY {INTERNAL_STATEMENT_ID} {since}{mode}"
         case Commit(statement_id):
             return f"QUERY {statement_id} COMMIT"
         case Rollback():
-            return f"QUERY {OWN_ID} ROLLBACK"
+            return f"QUERY {INTERNAL_STATEMENT_ID} ROLLBACK"
         case SetValue(name, value):
-            return f"QUERY {OWN_ID} SET {name} {value}"
+            return f"QUERY {INTERNAL_STATEMENT_ID} SET {name} {value}"
         case Prepare(name, is_write, shape):
             mode = "WRITE" if is_write else "READ"
-            return f"QUERY {OWN_ID} PREPARE {name} {mode} {shape}"
+            return f"QUERY {INTERNAL_STATEMENT_ID} PREPARE {name} {mode} {shape}"
         case Discard():
-            return f"QUERY {OWN_ID} DISCARD"
+            return f"QUERY {INTERNAL_STATEMENT_ID} DISCARD"
         case AskStatus():
-            return f"QUERY {OWN_ID} STATUS"
+            return f"QUERY {INTERNAL_STATEMENT_ID} STATUS"
         case Fence(term):
-            return f"QUERY {OWN_ID} PAUSE {term}"
+            return f"QUERY {INTERNAL_STATEMENT_ID} PAUSE {term}"
         case Unfence():
-            return f"QUERY {OWN_ID} RESUME"
+            return f"QUERY {INTERNAL_STATEMENT_ID} RESUME"
         case StepDown(term):
-            return f"QUERY {OWN_ID} STEPDOWN {term}"
+            return f"QUERY {INTERNAL_STATEMENT_ID} STEPDOWN {term}"
 
 
 def parse_ready(line: str) -> tuple[TransactionState, Position | None]:
-    """Return the state and position that end an answer of a member.
+    """Return the state and position in the last line of a member's response.
 
     Raises
     ------
     WireError
-        If the line is another message.
+        If the line is not a ready message.
     """
     words = line.split(" ")
     if len(words) != 3 or words[0] != "READY" or words[1] not in _STATES_BY_LETTER:
@@ -198,21 +198,21 @@
 
 
 def parse_member_response(lines: list[str], *, has_report: bool) -> MemberAnswer:
-    """Return a member's answer from its lines, the last of which is `READY`.
+    """Return a member's response from its lines, the last of which is `READY`.
 
     Raises
     ------
     WireError
-        If the lines are not a whole answer.
+        If the lines are not a complete response.
     """
     if len(lines) < 2:
-        raise WireError("answer without a result")
+        raise WireError("response without a result")
     state, position = parse_ready(lines[-1])
     word, _, rest = lines[-2].partition(" ")
     rows = tuple(_parse_row(line) for line in lines[:-2])
     if word == "ERROR":
         code, _, detail = rest.partition(" ")
-        # A code that is not known promises nothing.
+        # An unknown code does not imply that the statement did not run.
         refusal = _REFUSALS.get(code, Refusal.EXECUTION_FAILED)
         return MemberAnswer((), "", refusal, f"{code} {detail}", state, position)
     if word != "COMPLETE":
@@ -230,22 +230,22 @@
 
 
 def parse_report(row: str) -> MemberReport:
-    """Return a status row; the member's name is not part of it.
+    """Return the report in a status row, which does not contain the member's name.
 
     Raises
     ------
     WireError
-        If fields are missing or not of their type.
+        If fields are missing or malformed.
     """
     words = row.split(" ")
     try:
-        role, term, received, held, lag_ms = words[:STATUS_FIELDS]
+        role, term, received, held, lag_ms = words[:STATUS_FIELD_COUNT]
         position = parse_position(received)
         return MemberReport(
             member="",
             role=_ROLES[role],
             term=int(term),
-            # The end of the received log, of which `lag` may not be applied yet.
+            # End of the received log; the last `lag` of it may not be applied yet.
             position=position or Position(0, 0),
             # "Held" is the term for which the member stopped receiving; 0 if none.
             fenced_term=int(held),
@@ -256,7 +256,7 @@
 
 
 def parse_position(text: str) -> Position | None:
-    """Return a position written as TERM.NUMBER; None for none.
+    """Return a position written as TERM.NUMBER, or None for ``-``.
 
     Raises
     ------
