--- a/src/radishtrack/backend/connection.py
+++ b/src/radishtrack/backend/connection.py
@@ -55,7 +55,7 @@
 
 @attrs.define(frozen=True)
 class MemberError(Exception):
-    """An error packet of the member."""
+    """Raised for an error packet, which is a definite response of the member."""
 
     code: int
     message: str
--- a/src/radishtrack/backend/member_commands.py
+++ b/src/radishtrack/backend/member_commands.py
@@ -34,7 +34,7 @@
 from radishtrack.group.status import MemberStatus, Role
 
 COMMAND_TIMEOUT_MS: Final = 1_000.0
-"""Timeout of a command; longer than a step of a promotion, which is retried."""
+"""Timeout of a command; exceeds that of a promotion step, which is retried."""
 
 CLIENT_ERROR_CODES: Final = range(2000, 3000)
 """Error codes of MySQL client libraries for failures of the connection."""
--- a/src/radishtrack/backend/monitor.py
+++ b/src/radishtrack/backend/monitor.py
@@ -34,10 +34,10 @@
 PRIMARY_POLL_DELAY_MS: Final = 10.0
 """Time after which a round without all replicas polls the primary too."""
 
-CONFIRMATION_INTERVAL_MS: Final = 5.0
+CONFIRMATION_POLL_INTERVAL_MS: Final = 5.0
 """Interval of polls to a replica while commits wait for confirmation."""
 
-MINIMUM_INTERVAL_MS: Final = 1.0
+MIN_POLL_INTERVAL_MS: Final = 1.0
 """Shortest interval of polls to a member; limits the cost of many rounds."""
 
 SAMPLE_WINDOW_MS: Final = 2 * POLL_INTERVAL_MS
@@ -337,11 +337,13 @@
         self, member: str, wake: asyncio.Event, sent_ms: float
     ) -> None:
         is_confirming = self.commit_waiters and member in self._confirming_members()
-        interval_ms = CONFIRMATION_INTERVAL_MS if is_confirming else POLL_INTERVAL_MS
+        interval_ms = (
+            CONFIRMATION_POLL_INTERVAL_MS if is_confirming else POLL_INTERVAL_MS
+        )
         elapsed_ms = self.clock.now_ms() - sent_ms
         if not wake.is_set():
             await _wait_for_event(wake, interval_ms - elapsed_ms)
-        remaining_ms = sent_ms + MINIMUM_INTERVAL_MS - self.clock.now_ms()
+        remaining_ms = sent_ms + MIN_POLL_INTERVAL_MS - self.clock.now_ms()
         if remaining_ms > 0:
             await asyncio.sleep(remaining_ms / 1000)
 
--- a/src/radishtrack/backend/write.py
+++ b/src/radishtrack/backend/write.py
@@ -38,7 +38,7 @@
 
 TERM_CHECK_INTERVAL_MS: Final = 250.0
 RETRYABLE_ERROR_CODES: Final = frozenset({READ_ONLY_ERROR, TOO_MANY_CONNECTIONS_ERROR})
-"""Errors of statements that the member refused before it ran anything."""
+"""Errors of a member that refused a statement before running it; a retry is safe."""
 
 
 @attrs.define
--- a/src/radishtrack/platform/documents.py
+++ b/src/radishtrack/platform/documents.py
@@ -24,7 +24,7 @@
     "bounded_staleness": ReadClass.AGED,
 }
 ROLES: Final = {"primary": Role.PRIMARY, "replica": Role.REPLICA}
-STATES: Final = {"ready": False, "draining": True}
+IS_LEAVING_BY_STATE: Final = {"ready": False, "draining": True}
 """Whether a member in this state is leaving."""
 
 _T = TypeVar("_T")
@@ -116,7 +116,7 @@
             port=port,
             zone=_text(spec, "zone"),
             slots=_integer(spec, "slots"),
-            is_leaving=STATES[spec["state"]],
+            is_leaving=IS_LEAVING_BY_STATE[spec["state"]],
             role=ROLES[spec["dbRole"]],
             # Only this field changes on a restart under the same name.
             started_ms=_integer(spec, "born") if "born" in spec else 0,
