--- a/src/radishtrack/proxy/node.py
+++ b/src/radishtrack/proxy/node.py
@@ -33,7 +33,7 @@
     PlatformUnavailable,
     VmRecord,
     VmState,
-    WatchAnswer,
+    WatchResponse,
 )
 from radishtrack.objects.watch import follow_objects
 from radishtrack.peer.messages import (
@@ -291,7 +291,7 @@
             contact_ms = self.platform.last_contact_ms or 0.0
             self.copies.contacts.record_platform_contact(contact_ms)
 
-    def _apply_objects(self, response: WatchAnswer) -> None:
+    def _apply_objects(self, response: WatchResponse) -> None:
         revoked: set[str] = set()
         for item in response.objects:
             if item.kind == KEYS_KIND:
--- a/src/radishtrack/proxy/slots.py
+++ b/src/radishtrack/proxy/slots.py
@@ -85,7 +85,7 @@
     def is_record_outdated(self, database: str) -> bool:
         """Return whether a member is in a later term than the known record."""
         backend = self.holder.databases.get(database)
-        return backend is not None and backend.is_replaced(backend.group)
+        return backend is not None and backend.has_later_term(backend.group)
 
     def list_voters(self, database: str) -> tuple[str, ...]:
         """Return the voters of a database; empty if this node does not hold it."""
--- a/tests/test_pooler_wire.py
+++ b/tests/test_pooler_wire.py
@@ -15,9 +15,9 @@
 from radishtrack.platform.settings import SettingsError, parse_settings
 from radishtrack.platform.wire import (
     WireError,
-    format_client_answer,
+    format_client_response,
     format_query,
-    parse_answer,
+    parse_member_response,
     parse_query,
     parse_report,
     parse_startup,
@@ -103,12 +103,12 @@
 def test_incomplete_responses_are_rejected(lines: list[str]) -> None:
     """A truncated or interleaved response must not be returned as a result."""
     with pytest.raises(WireError):
-        parse_answer(lines, has_report=False)
+        parse_member_response(lines, has_report=False)
 
 
 def test_unknown_error_code_means_that_the_statement_ran() -> None:
     """Clients rely on the codes that say that the statement did not run."""
-    response = parse_answer(["ERROR STRANGE x", "READY I -"], has_report=False)
+    response = parse_member_response(["ERROR STRANGE x", "READY I -"], has_report=False)
     assert response.refusal is Refusal.EXECUTION_FAILED
 
 
@@ -126,7 +126,7 @@
     response = ClientResponse(
         TransactionState.IDLE, refusal=Refusal.BUSY, detail="a\r\nREADY I -"
     )
-    assert format_client_answer(response) == "ERROR BUSY a READY I -\r\nREADY I -"
+    assert format_client_response(response) == "ERROR BUSY a READY I -\r\nREADY I -"
 
 
 def test_configuration_is_decoded_without_the_keys() -> None:
