--- a/src/radishtrack/_validation.py
+++ b/src/radishtrack/_validation.py
@@ -205,7 +205,7 @@
                 self.problems.append(Problem(path, "a table", describe_value(item)))
         return readers
 
-    def finish(self) -> None:
+    def reject_unknown_keys(self) -> None:
         """Refuse the keys that nothing asked for."""
         for key in self.table:
             if key not in self.known:
--- a/src/radishtrack/config/_parse.py
+++ b/src/radishtrack/config/_parse.py
@@ -95,7 +95,7 @@
         tuple(_read_database(table) for table in root.read_tables("database")),
         tuple(_read_service(table) for table in root.read_tables("service")),
     )
-    root.finish()
+    root.reject_unknown_keys()
     return parts
 
 
@@ -134,7 +134,7 @@
 
 def _read_owner(table: TableReader) -> Owner:
     owner = Owner(_read_name(table))
-    table.finish()
+    table.reject_unknown_keys()
     return owner
 
 
@@ -148,7 +148,7 @@
     if organisation.name == OPEN_USER:
         expected = f"a name other than {OPEN_USER!r}, the user of open routes"
         table.add_problem("name", expected, repr(OPEN_USER))
-    table.finish()
+    table.reject_unknown_keys()
     return organisation
 
 
@@ -169,7 +169,7 @@
         expected = f"{MIN_MEMBERS} to {MAX_MEMBERS} members"
         table.add_problem("member", expected, str(len(database.members)))
     _check_unique((*table.path, "member"), database.members, table.problems)
-    table.finish()
+    table.reject_unknown_keys()
     return database
 
 
@@ -182,7 +182,7 @@
         zone=table.read_text("zone"),
         leaving=table.read_flag("leaving", False),
     )
-    table.finish()
+    table.reject_unknown_keys()
     return member
 
 
@@ -194,7 +194,7 @@
     )
     service = Service(name, database, table.read_texts("depends_on", ()), routes)
     _check_unique((*table.path, "route"), routes, table.problems)
-    table.finish()
+    table.reject_unknown_keys()
     return service
 
 
@@ -213,7 +213,7 @@
         idempotent=table.read_flag("idempotent", False),
     )
     _check_route(table, route)
-    table.finish()
+    table.reject_unknown_keys()
     return route
 
 
--- a/src/radishtrack/settings.py
+++ b/src/radishtrack/settings.py
@@ -200,7 +200,7 @@
         limits=_read_limits(root.read_table("limits", required=False)),
         log=_read_log(root.read_table("log", required=False)),
     )
-    root.finish()
+    root.reject_unknown_keys()
     return settings
 
 
@@ -208,7 +208,7 @@
     node = NodeSettings(
         table.read_text("id"), table.read_text("zone"), table.read_text("region")
     )
-    table.finish()
+    table.reject_unknown_keys()
     return node
 
 
@@ -226,7 +226,7 @@
     if bool(listen.tls_certificate) != bool(listen.tls_key):
         lacking = "tls_key" if listen.tls_certificate else "tls_certificate"
         table.add_problem(lacking, "tls_certificate and tls_key together", MISSING)
-    table.finish()
+    table.reject_unknown_keys()
     return listen
 
 
@@ -236,7 +236,7 @@
         "a URL that begins with http:// or https://",
         lambda text: text.startswith(("http://", "https://")),
     )
-    table.finish()
+    table.reject_unknown_keys()
     return PlatformSettings(url.rstrip("/"))
 
 
@@ -250,7 +250,7 @@
         else:
             seeds.append(address)
     tls_ca = table.read_text("tls_ca", "")
-    table.finish()
+    table.reject_unknown_keys()
     return PeerSettings(secret, tuple(seeds), tls_ca)
 
 
@@ -282,7 +282,7 @@
     if not isinstance(password, str):
         found = MISSING if password is None else REDACTED
         table.add_problem("password", "text, which may be empty", found)
-    table.finish()
+    table.reject_unknown_keys()
     return DatabaseLogin(user, str(password))
 
 
@@ -311,7 +311,7 @@
             table, "idle_transaction_ms", default.idle_transaction_ms
         ),
     )
-    table.finish()
+    table.reject_unknown_keys()
     return limits
 
 
@@ -321,5 +321,5 @@
 
 def _read_log(table: TableReader) -> LogSettings:
     log = LogSettings(table.read_choice("format", LOG_FORMATS, "text"))
-    table.finish()
+    table.reject_unknown_keys()
     return log
