--- a/src/radishtrack/_sealed.py
+++ b/src/radishtrack/_sealed.py
@@ -1,4 +1,4 @@
-"""Copies that nodes hand to each other, authenticated by the peer secret."""
+"""Compressed copies that nodes send each other, authenticated by the peer secret."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 MAC_BYTES: Final = 32
 MAX_COPY_BYTES: Final = 1_000_000
-"""A copy travels in one peer frame of at most 1 MiB."""
+"""A copy is sent in one peer frame of at most 1 MiB."""
 
 
 def seal_copy(kind: str, value: dict[str, Any], secret: str) -> bytes:
@@ -19,9 +19,10 @@
     Parameters
     ----------
     kind : str
-        What the copy is of; a copy of one kind is never taken for another.
+        Kind of the copied objects; covered by the code, so that a copy of one kind is
+        never accepted as another.
     value : dict
-        JSON value.
+        The copied objects as a JSON value.
     secret : str
         The peer secret.
 
@@ -30,21 +31,23 @@
     ValueError
         If the copy does not fit into one peer frame.
     """
-    content = zlib.compress(json.dumps(value, separators=(",", ":")).encode())
-    if len(content) + MAC_BYTES > MAX_COPY_BYTES:
-        raise ValueError(f"copy of {kind} has {len(content)} bytes, too many to send")
-    return _compute_mac(kind, content, secret) + content
+    payload = zlib.compress(json.dumps(value, separators=(",", ":")).encode())
+    if len(payload) + MAC_BYTES > MAX_COPY_BYTES:
+        raise ValueError(
+            f"copy of {kind} has {len(payload)} bytes; too large for a peer frame"
+        )
+    return _compute_mac(kind, payload, secret) + payload
 
 
 def open_copy(kind: str, data: bytes, secret: str) -> dict[str, Any] | None:
-    """Return the value of a copy, or None if it is not authentic."""
-    mac, content = data[:MAC_BYTES], data[MAC_BYTES:]
-    if not hmac.compare_digest(mac, _compute_mac(kind, content, secret)):
+    """Return the value in a copy, or None if the copy is not authentic."""
+    mac, payload = data[:MAC_BYTES], data[MAC_BYTES:]
+    if not hmac.compare_digest(mac, _compute_mac(kind, payload, secret)):
         return None
-    value = json.loads(zlib.decompress(content))
+    value = json.loads(zlib.decompress(payload))
     return value if isinstance(value, dict) else None
 
 
-def _compute_mac(kind: str, content: bytes, secret: str) -> bytes:
-    message = kind.encode() + b"\0" + content
+def _compute_mac(kind: str, payload: bytes, secret: str) -> bytes:
+    message = kind.encode() + b"\0" + payload
     return hmac.digest(secret.encode(), message, hashlib.sha256)
--- a/src/radishtrack/admin.py
+++ b/src/radishtrack/admin.py
@@ -1,4 +1,4 @@
-"""HTTP endpoints for monitoring: metrics, health and readiness."""
+"""HTTP server for metrics, health and readiness."""
 
 from __future__ import annotations
 
@@ -29,38 +29,38 @@
 
 @attrs.define(frozen=True)
 class AdminServer:
-    """The running endpoints."""
+    """The running HTTP server and the address that it listens on."""
 
     runner: web.AppRunner
     host: str
     port: int
 
     async def close(self) -> None:
-        """Stop listening."""
+        """Close the server and its connections."""
         await self.runner.cleanup()
 
 
 async def start_admin(
     host: str, port: int, metrics: Metrics, check: ReadinessCheck
 ) -> AdminServer:
-    """Serve the endpoints.
+    """Start the HTTP server.
 
     Parameters
     ----------
     host : str
         Address to listen on.
     port : int
-        Port to listen on; 0 lets the system choose.
+        Port to listen on; 0 lets the system choose a port.
     metrics : Metrics
-        What ``/metrics`` shows.
+        The metrics returned by ``/metrics``.
     check : callable
-        Asked by ``/readyz``, which answers 503 with the reason if the node is not
-        ready. ``/healthz`` answers 200 as long as the event loop runs.
+        Called by ``/readyz``, which returns 503 with the reason if the node is not
+        ready. ``/healthz`` returns 200 while the event loop runs.
 
     Returns
     -------
     AdminServer
-        The server with the port that it listens on.
+        The server, with the port that it listens on.
     """
     runner = web.AppRunner(
         make_app(metrics, check), access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_S
@@ -73,23 +73,23 @@
 
 
 def make_app(metrics: Metrics, check: ReadinessCheck) -> web.Application:
-    """Return the application with the three endpoints."""
+    """Return the web application with the three endpoints."""
 
-    async def show_metrics(request: web.Request) -> web.Response:
+    async def get_metrics(request: web.Request) -> web.Response:
         content = generate_latest(metrics.registry)
         return web.Response(body=content, headers={"Content-Type": CONTENT_TYPE_LATEST})
 
-    async def show_health(request: web.Request) -> web.Response:
+    async def get_health(request: web.Request) -> web.Response:
         return web.Response(text="ok\n")
 
-    async def show_readiness(request: web.Request) -> web.Response:
+    async def get_readiness(request: web.Request) -> web.Response:
         readiness = check()
         if readiness.ready:
             return web.Response(text="ready\n")
         return web.Response(status=503, text=f"not ready: {readiness.reason}\n")
 
     app = web.Application()
-    app.router.add_get("/metrics", show_metrics)
-    app.router.add_get("/healthz", show_health)
-    app.router.add_get("/readyz", show_readiness)
+    app.router.add_get("/metrics", get_metrics)
+    app.router.add_get("/healthz", get_health)
+    app.router.add_get("/readyz", get_readiness)
     return app
--- a/src/radishtrack/clock.py
+++ b/src/radishtrack/clock.py
@@ -1,4 +1,4 @@
-"""The only source of time: a clock in milliseconds that is passed in."""
+"""Clocks in milliseconds, passed to code as its only source of time."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @attrs.define(frozen=True)
 class Clock:
-    """Monotonic clock.
+    """A monotonic clock.
 
     Parameters
     ----------
@@ -25,25 +25,25 @@
 
 @attrs.define
 class ManualTime:
-    """Time that only moves when a test moves it."""
+    """Time that advances only on request, for tests."""
 
     value_ms: float = 0.0
 
     def advance(self, delta_ms: float) -> None:
-        """Move the time forward by `delta_ms` milliseconds."""
+        """Advance the time by `delta_ms` milliseconds."""
         self.value_ms += delta_ms
 
 
 def make_system_clock() -> Clock:
-    """Return a clock on the operating system's monotonic time."""
+    """Return a clock that reads the operating system's monotonic clock."""
     return Clock(lambda: time.monotonic_ns() / NANOSECONDS_PER_MILLISECOND)
 
 
 def make_boot_clock() -> Clock:
-    """Return a clock that also counts the time for which the VM was suspended.
+    """Return a clock that includes the time during which the VM was suspended.
 
-    The monotonic clock stands still while a VM is suspended, so evidence would look
-    younger than it is after the VM continues.
+    The monotonic clock stops while a VM is suspended, so that evidence would appear
+    younger than it is when the VM resumes.
     """
     return Clock(
         lambda: time.clock_gettime_ns(time.CLOCK_BOOTTIME) / NANOSECONDS_PER_MILLISECOND
--- a/src/radishtrack/errors.py
+++ b/src/radishtrack/errors.py
@@ -1,4 +1,4 @@
-"""Typed failures: the step, the peer and what is known to have run."""
+"""Errors of requests: the failed step, the peer and the outcome."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Outcome(enum.Enum):
-    """What is known about the execution of a request."""
+    """Whether a request was executed, as far as this node can tell."""
 
     RAN = "ran"
     NOT_RUN = "not run"
@@ -16,7 +16,7 @@
 
 
 class ErrorCode(enum.IntEnum):
-    """Error codes that a client sees in a MySQL error packet."""
+    """Error codes in MySQL error packets sent to clients."""
 
     ACCESS_DENIED = 1045
     SYNTAX = 1064
@@ -30,22 +30,22 @@
 
 @attrs.define(frozen=True)
 class Failure:
-    """A failed step.
+    """A failed step of a request.
 
     Parameters
     ----------
     step : str
         The step that failed, for example ``"admit"`` or ``"confirm"``.
     peer : str
-        The node, member or client at which it failed; empty for this node.
+        The node, member or client at which the step failed; empty for this node.
     outcome : Outcome
-        What is known about the execution of the request.
+        Whether the request was executed.
     code : int
         Error code for the client.
     message : str
-        Explanation for the client; contains no secret.
+        Explanation for the client, without secrets.
     retry_after_ms : float
-        Earliest useful time of a retry, in milliseconds from now; 0 if unknown.
+        Shortest useful delay before a retry, in milliseconds; 0 if unknown.
     """
 
     step: str
@@ -71,7 +71,7 @@
 
 
 def make_not_run(step: str, message: str, *, peer: str = "") -> RequestError:
-    """Return the error of a request that was refused before it could run."""
+    """Return the error of a request that was refused before it ran."""
     return RequestError(
         Failure(step, peer, Outcome.NOT_RUN, ErrorCode.REFUSED, message)
     )
--- a/src/radishtrack/events.py
+++ b/src/radishtrack/events.py
@@ -10,7 +10,7 @@
 
 
 class Event(enum.Enum):
-    """A numbered event: number, severity and what happened."""
+    """A log event: its number, severity and text."""
 
     NODE_STARTED = (1001, "info", "node started")
     NODE_DRAINING = (1002, "info", "node stops accepting work and finishes requests")
@@ -56,7 +56,7 @@
 
     @property
     def number(self) -> int:
-        """The number under which the catalogue lists the event."""
+        """The number that identifies the event in logs and in the catalogue."""
         return self.value[0]
 
     @property
@@ -66,13 +66,13 @@
 
     @property
     def text(self) -> str:
-        """What happened, in one clause."""
+        """The description of the event in one clause."""
         return self.value[2]
 
 
 _as_json = False
 
-_WRITERS: dict[str, Callable[..., None]] = {
+_LOG_FUNCTIONS: dict[str, Callable[..., None]] = {
     "info": logging.info,
     "warning": logging.warning,
     "error": logging.error,
@@ -80,17 +80,17 @@
 
 
 def use_json_lines(enabled: bool) -> None:
-    """Choose between text and JSON lines for all later events."""
+    """Choose JSON lines or text lines for all events that follow."""
     global _as_json
     _as_json = enabled
 
 
 def log_event(event: Event, **fields: object) -> None:
-    """Write one event with its fields; fields must contain no secret."""
-    writer = _WRITERS[event.severity]
+    """Log an event with its fields, which must not contain secrets."""
+    write = _LOG_FUNCTIONS[event.severity]
     if _as_json:
         record = {"event": event.number, "text": event.text, **fields}
-        writer("%s", json.dumps(record, default=str))
+        write("%s", json.dumps(record, default=str))
         return
     details = " ".join(f"{name}={value}" for name, value in fields.items())
-    writer("R%d %s %s", event.number, event.text, details)
+    write("R%d %s %s", event.number, event.text, details)
--- a/src/radishtrack/log_output.py
+++ b/src/radishtrack/log_output.py
@@ -1,4 +1,4 @@
-"""Log lines on standard output that never block the process."""
+"""JSON log lines on standard output, written without blocking the process."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
 from radishtrack.events import use_json_lines
 
-QUIET_LIBRARIES: Final = (
+SILENCED_LIBRARIES: Final = (
     "aiohttp",
     "mysql_mimic",
     "transitions",
     "websockets",
 )
-"""Their own lines have no event number and no bound; mysql_mimic reports every refused
-statement as an error, which would flood the log in an overload."""
+"""Their log lines have no event number and no rate limit; mysql_mimic logs every
+refused statement as an error, which would flood the log under overload."""
 
 
-def silence_libraries(*more: str) -> None:
-    """Drop the lines that libraries log themselves."""
-    for name in (*QUIET_LIBRARIES, *more):
+def silence_libraries(*additional: str) -> None:
+    """Drop the log lines of `SILENCED_LIBRARIES` and of `additional` loggers."""
+    for name in (*SILENCED_LIBRARIES, *additional):
         standard_logging.getLogger(name).setLevel(standard_logging.CRITICAL)
 
 
 class NonBlockingHandler(standard_logging.Handler):
-    """Writes lines to a file descriptor; drops and counts what it can't take now."""
+    """Writes lines to a file descriptor; drops and counts lines that would block."""
 
     def __init__(self, descriptor: int) -> None:
         super().__init__()
@@ -38,7 +38,7 @@
         os.set_blocking(descriptor, False)
 
     def emit(self, record: standard_logging.LogRecord) -> None:
-        """Write one line."""
+        """Write one line, preceded by the number of lines dropped before it."""
         line = self.format(record)
         if self.dropped:
             line = f'{{"dropped_lines": {self.dropped}}}\n{line}'
@@ -50,7 +50,7 @@
 
 
 class LineFormatter(standard_logging.Formatter):
-    """Adds time and severity to the fields of an event."""
+    """Formats records as JSON lines with time and severity."""
 
     def format(self, record: standard_logging.LogRecord) -> str:
         """Return a JSON line."""
--- a/src/radishtrack/metrics.py
+++ b/src/radishtrack/metrics.py
@@ -16,12 +16,12 @@
 )
 
 MAX_ORGANISATIONS: Final = 1_500
-"""Target scale is 1,000 organisations; more share one label value."""
+"""Above the target scale of 1,000; further organisations share the label `OTHER`."""
 
 OTHER: Final = "other"
 SECOND_MS: Final = 1_000.0
 
-CLASSES: Final = ("strict", "session", "aged", "write", "transaction")
+STATEMENT_CLASSES: Final = ("strict", "session", "aged", "write", "transaction")
 OUTCOMES: Final = ("ran", "not run", "unknown")
 ROLES: Final = ("primary", "replica")
 REASONS: Final = (
@@ -54,7 +54,7 @@
 
 @attrs.define
 class Metrics:
-    """The metrics of one node, in a registry of their own."""
+    """The metrics of one node, in a registry of its own."""
 
     registry: CollectorRegistry
     latency: Histogram
@@ -67,38 +67,38 @@
     client_connections: Gauge
     configuration_revision: Gauge
     organisations: set[str] = attrs.field(factory=set)
-    """Organisations that have a label value of their own."""
+    """Organisations with a label value of their own."""
 
     def observe_statement(
         self, organisation: str, statement_class: str, outcome: str, elapsed_ms: float
     ) -> None:
-        """Record a finished statement and how long it took, in milliseconds."""
+        """Record a finished statement and its duration in milliseconds."""
         name = self._bound_organisation(organisation)
-        label = _bound(statement_class, CLASSES)
+        label = _bound_label(statement_class, STATEMENT_CLASSES)
         self.latency.labels(name, label).observe(elapsed_ms / SECOND_MS)
-        self.outcomes.labels(name, _bound(outcome, OUTCOMES)).inc()
+        self.outcomes.labels(name, _bound_label(outcome, OUTCOMES)).inc()
 
     def count_read(self, role: str) -> None:
         """Count a read by the role of the member that served it."""
-        self.reads.labels(_bound(role, ROLES)).inc()
+        self.reads.labels(_bound_label(role, ROLES)).inc()
 
     def observe_queue_wait(self, organisation: str, wait_ms: float) -> None:
-        """Record how long a request waited for a connection, in milliseconds."""
+        """Record the time in milliseconds that a request waited for a connection."""
         name = self._bound_organisation(organisation)
         self.queue_wait.labels(name).observe(wait_ms / SECOND_MS)
 
     def count_refusal(self, organisation: str, reason: str) -> None:
-        """Count a request that was refused as not run."""
+        """Count a request that was refused before it ran."""
         name = self._bound_organisation(organisation)
-        self.refused.labels(name, _bound(reason, REASONS)).inc()
+        self.refused.labels(name, _bound_label(reason, REASONS)).inc()
 
     def count_platform_call(self, result: str) -> None:
-        """Count a call of the platform by its result."""
-        self.platform_calls.labels(_bound(result, PLATFORM_RESULTS)).inc()
+        """Count a call to the platform's object API by its result."""
+        self.platform_calls.labels(_bound_label(result, PLATFORM_RESULTS)).inc()
 
     def count_control_bytes(self, channel: str, size: int) -> None:
         """Count bytes of control traffic with the platform or with peers."""
-        self.control_bytes.labels(_bound(channel, ("platform", "peer"))).inc(size)
+        self.control_bytes.labels(_bound_label(channel, ("platform", "peer"))).inc(size)
 
     def _bound_organisation(self, organisation: str) -> str:
         if organisation in self.organisations:
@@ -110,7 +110,7 @@
 
 
 def make_metrics() -> Metrics:
-    """Return the metrics of a node, with those of its process."""
+    """Return the metrics of a node, including those of its process."""
     registry = CollectorRegistry()
     ProcessCollector(registry=registry)
     PlatformCollector(registry=registry)
@@ -174,5 +174,5 @@
     )
 
 
-def _bound(value: str, known: tuple[str, ...]) -> str:
-    return value if value in known else OTHER
+def _bound_label(value: str, allowed: tuple[str, ...]) -> str:
+    return value if value in allowed else OTHER
--- a/src/radishtrack/settings.py
+++ b/src/radishtrack/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one node's process, read from one TOML file and validated whole."""
+"""Settings of a node's process, read from a TOML file and validated as a whole."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @attrs.define(frozen=True)
 class Address:
-    """A host and a TCP port."""
+    """Host and TCP port."""
 
     host: str
     port: int
@@ -33,7 +33,7 @@
 
 @attrs.define(frozen=True)
 class NodeSettings:
-    """Who this node is and where it runs."""
+    """Identity and location of the node."""
 
     id: str
     zone: str
@@ -42,7 +42,7 @@
 
 @attrs.define(frozen=True)
 class ListenSettings:
-    """Addresses that the node listens on; port 0 lets the system choose."""
+    """Addresses that the node listens on; port 0 lets the system choose a port."""
 
     client_host: str
     client_port: int
@@ -51,31 +51,31 @@
     admin_host: str
     admin_port: int
     tls_certificate: str
-    """Path of a PEM file, or empty: without TLS."""
+    """Path of a PEM file; empty without TLS."""
     tls_key: str
-    """Path of a PEM file, or empty: without TLS."""
+    """Path of a PEM file; empty without TLS."""
 
 
 @attrs.define(frozen=True)
 class PlatformSettings:
-    """Where the platform's object API is."""
+    """Base URL of the platform's object API."""
 
     url: str
 
 
 @attrs.define(frozen=True)
 class PeerSettings:
-    """How nodes reach and authenticate each other."""
+    """Addresses and credentials for connections between nodes."""
 
     secret: str = attrs.field(repr=False)
     seeds: tuple[Address, ...]
     tls_ca: str
-    """Path of a PEM file, or empty: peers are reached without TLS."""
+    """Path of a PEM file; empty if connections to peers do not use TLS."""
 
 
 @attrs.define(frozen=True)
 class DatabaseLogin:
-    """The proxy's own login at the members; clients' keys never go there."""
+    """The proxy's own login at the members, which never receive clients' keys."""
 
     user: str
     password: str = attrs.field(repr=False)
@@ -83,7 +83,7 @@
 
 @attrs.define(frozen=True)
 class LimitSettings:
-    """Limits of the process; sizes in bytes, durations in milliseconds."""
+    """Limits of the process."""
 
     max_statement_bytes: int = 1024 * 1024
     max_client_connections: int = 10_000
@@ -94,14 +94,14 @@
 
 @attrs.define(frozen=True)
 class LogSettings:
-    """Form of the log lines on standard error: ``"text"`` or ``"json"``."""
+    """Format of the log lines on standard error: ``"text"`` or ``"json"``."""
 
     format: str = "text"
 
 
 @attrs.define(frozen=True)
 class Settings:
-    """All settings of one node's process."""
+    """All settings of a node's process."""
 
     node: NodeSettings
     listen: ListenSettings
@@ -114,18 +114,18 @@
 
 @attrs.define(frozen=True)
 class SettingsError:
-    """One setting that cannot be used.
+    """An invalid or missing setting.
 
     Parameters
     ----------
     file : str
         The settings file.
     key : str
-        The setting in dotted form; empty if the whole file is meant.
+        The setting in dotted form; empty if the error concerns the whole file.
     expected : str
-        What would be accepted.
+        Description of valid values.
     found : str
-        What is there; never a secret.
+        Description of the value in the file; never contains a secret.
     """
 
     file: str
@@ -134,8 +134,8 @@
     found: str
 
     def __str__(self) -> str:
-        place = f"{self.file}: {self.key}" if self.key else self.file
-        return f"{place}: expected {self.expected}, found {self.found}"
+        location = f"{self.file}: {self.key}" if self.key else self.file
+        return f"{location}: expected {self.expected}, found {self.found}"
 
 
 SettingsResult = Result[Settings, tuple[SettingsError, ...]]
@@ -152,7 +152,7 @@
     Returns
     -------
     Result
-        The settings, or every error that the file has.
+        The settings, or all errors in the file.
     """
     file = str(path)
     try:
@@ -163,13 +163,13 @@
 
 
 def parse_settings(text: str, file: str) -> SettingsResult:
-    """Validate the text of a settings file; `file` names it in errors."""
+    """Parse and validate the text of a settings file; `file` is its name in errors."""
     try:
-        content = tomllib.loads(text)
+        document = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         return Error((SettingsError(file, "", "TOML", str(error)),))
     problems: list[Problem] = []
-    settings = _read_settings(TableReader(content, (), problems), Path(file).parent)
+    settings = _read_settings(TableReader(document, (), problems), Path(file).parent)
     if problems:
         return Error(
             tuple(
@@ -181,7 +181,7 @@
 
 
 def parse_address(text: str) -> Address | None:
-    """Return the address in ``host:port``, or None if it is not one."""
+    """Return the address in a text ``host:port``, or None if it is malformed."""
     host, separator, port = text.rpartition(":")
     if not separator or not host or not port.isascii() or not port.isdigit():
         return None
@@ -224,8 +224,8 @@
         tls_key=table.read_text("tls_key", ""),
     )
     if bool(listen.tls_certificate) != bool(listen.tls_key):
-        lacking = "tls_key" if listen.tls_certificate else "tls_certificate"
-        table.add_problem(lacking, "tls_certificate and tls_key together", MISSING)
+        missing_key = "tls_key" if listen.tls_certificate else "tls_certificate"
+        table.add_problem(missing_key, "tls_certificate and tls_key together", MISSING)
     table.reject_unknown_keys()
     return listen
 
@@ -278,7 +278,7 @@
 def _read_login(table: TableReader) -> DatabaseLogin:
     user = table.read_text("user")
     password = table.table.get("password")
-    table.known.append("password")
+    table.known_keys.append("password")
     if not isinstance(password, str):
         found = MISSING if password is None else REDACTED
         table.add_problem("password", "text, which may be empty", found)
