--- a/src/radishtrack/peer/__init__.py
+++ b/src/radishtrack/peer/__init__.py
@@ -1,1 +1,1 @@
-"""The protocol between nodes: CBOR messages over WebSocket connections."""
+"""Protocol between nodes: CBOR messages over WebSocket connections."""
--- a/src/radishtrack/peer/codec.py
+++ b/src/radishtrack/peer/codec.py
@@ -1,4 +1,4 @@
-"""Encodes messages as CBOR arrays: type number, then the fields in order."""
+"""Encodes messages as CBOR arrays of a type number and the fields in order."""
 
 from __future__ import annotations
 
@@ -37,30 +37,30 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return the frame of a message.
+    """Return the frame for a message.
 
     Raises
     ------
     CodecError
         If the frame would exceed `MAX_FRAME_BYTES`.
     """
-    kind = type(message)
-    values = [getattr(message, name) for name in _FIELD_NAMES[kind]]
-    frame = cbor2.dumps([_TYPE_NUMBERS[kind], *values])
+    message_type = type(message)
+    values = [getattr(message, name) for name in _FIELD_NAMES[message_type]]
+    frame = cbor2.dumps([_TYPE_NUMBERS[message_type], *values])
     if len(frame) > MAX_FRAME_BYTES:
         raise CodecError(
-            f"{kind.__name__} needs {len(frame)} bytes; limit {MAX_FRAME_BYTES}"
+            f"{message_type.__name__} needs {len(frame)} bytes; limit {MAX_FRAME_BYTES}"
         )
     return frame
 
 
 def encode_rows(message: Rows) -> Iterator[bytes]:
-    """Yield the frames of a chunk of rows, split so that each fits the limit.
+    """Yield the frames for a chunk of rows, split to fit `MAX_FRAME_BYTES`.
 
     Raises
     ------
     CodecError
-        If one row alone exceeds `MAX_FRAME_BYTES`.
+        If a single row exceeds `MAX_FRAME_BYTES`.
     """
     try:
         yield encode(message)
@@ -78,34 +78,39 @@
     Raises
     ------
     CodecError
-        If the frame is not exactly one known message with fields of the right types.
+        If the frame is not exactly one message of a known type with valid fields.
     """
     try:
-        content: Any = cbor2.loads(frame)
+        array: Any = cbor2.loads(frame)
     except (cbor2.CBORDecodeError, ValueError, TypeError, RecursionError) as error:
         raise CodecError(f"frame is not valid CBOR: {error}") from error
-    if not isinstance(content, list) or not content:
+    if not isinstance(array, list) or not array:
         raise CodecError("frame is not a CBOR array with a type number")
-    number, *values = content
+    number, *values = array
     if type(number) is not int or not 0 <= number < len(MESSAGE_TYPES):
         raise CodecError(f"unknown message type {number!r}")
-    kind = MESSAGE_TYPES[number]
-    expected = _FIELD_TYPES[kind]
+    message_type = MESSAGE_TYPES[number]
+    expected = _FIELD_TYPES[message_type]
     if len(values) != len(expected):
         raise CodecError(
-            f"{kind.__name__} has {len(values)} fields; expected {len(expected)}"
+            f"{message_type.__name__} has {len(values)} fields; "
+            f"expected {len(expected)}"
         )
     fields = [
-        _freeze(value) if types == (tuple,) else value
+        _convert_lists_to_tuples(value) if types == (tuple,) else value
         for value, types in zip(values, expected, strict=True)
     ]
-    for name, value, types in zip(_FIELD_NAMES[kind], fields, expected, strict=True):
+    for name, value, types in zip(
+        _FIELD_NAMES[message_type], fields, expected, strict=True
+    ):
         if type(value) not in types:
-            raise CodecError(f"{kind.__name__}.{name} has type {type(value).__name__}")
-    return kind(*fields)
+            raise CodecError(
+                f"{message_type.__name__}.{name} has type {type(value).__name__}"
+            )
+    return message_type(*fields)
 
 
-def _freeze(value: Any) -> Any:
+def _convert_lists_to_tuples(value: Any) -> Any:
     if isinstance(value, list):
-        return tuple(map(_freeze, value))
+        return tuple(map(_convert_lists_to_tuples, value))
     return value
--- a/src/radishtrack/peer/handshake.py
+++ b/src/radishtrack/peer/handshake.py
@@ -1,7 +1,7 @@
 """Mutual authentication of two nodes by a shared secret, with HMAC-SHA256.
 
-Both proofs cover both nonces, both node names and the protocol version, and name the
-side that made them, so that a proof can't be replayed or reflected.
+Each proof covers both nonces, both node names, the protocol version and the side that
+made it, so that it cannot be replayed or reflected.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
 
 class HandshakeError(Exception):
-    """Raised when the other side is not an authentic node of this version."""
+    """Raised when the peer is not authentic or has another protocol version."""
 
 
 @attrs.define(frozen=True)
 class Transcript:
-    """What both proofs cover."""
+    """The data that both proofs cover."""
 
     client: str
     server: str
@@ -33,21 +33,21 @@
 
 
 def make_hello(node: str) -> Hello:
-    """Return the first message of the connecting node."""
+    """Return the connecting node's first message."""
     return Hello(PROTOCOL_VERSION, node, secrets.token_bytes(NONCE_BYTES))
 
 
-def answer_hello(hello: Hello, node: str, secret: bytes) -> Challenge:
-    """Return the server's answer.
+def make_challenge(hello: Hello, node: str, secret: bytes) -> Challenge:
+    """Return the accepting node's challenge with its own proof.
 
     Raises
     ------
     HandshakeError
-        If the versions differ or the nonce has a wrong length.
+        If the protocol versions differ or the nonce has the wrong length.
     """
     _check_version(hello.version)
     if len(hello.nonce) != NONCE_BYTES:
-        raise HandshakeError("nonce has a wrong length")
+        raise HandshakeError("nonce has the wrong length")
     nonce = secrets.token_bytes(NONCE_BYTES)
     transcript = Transcript(hello.node, node, hello.nonce, nonce)
     return Challenge(
@@ -55,39 +55,38 @@
     )
 
 
-def answer_challenge(hello: Hello, challenge: Challenge, secret: bytes) -> Proof:
-    """Check the server's proof and return the connecting node's proof.
+def make_proof(hello: Hello, challenge: Challenge, secret: bytes) -> Proof:
+    """Verify the accepting node's proof and return the connecting node's proof.
 
     Raises
     ------
     HandshakeError
-        If the versions differ or the server does not know the secret.
+        If the protocol versions differ or the accepting node does not know the secret.
     """
     _check_version(challenge.version)
-    transcript = make_transcript(hello, challenge)
+    transcript = _make_transcript(hello, challenge)
     expected = _prove(transcript, "server", secret)
     if not hmac.compare_digest(expected, challenge.proof):
         raise HandshakeError(f"node {challenge.node!r} does not know the fleet secret")
     return Proof(_prove(transcript, "client", secret))
 
 
-def check_proof(
+def verify_proof(
     hello: Hello, challenge: Challenge, proof: Proof, secret: bytes
 ) -> None:
-    """Check the connecting node's proof.
+    """Verify the connecting node's proof.
 
     Raises
     ------
     HandshakeError
         If the connecting node does not know the secret.
     """
-    expected = _prove(make_transcript(hello, challenge), "client", secret)
+    expected = _prove(_make_transcript(hello, challenge), "client", secret)
     if not hmac.compare_digest(expected, proof.proof):
         raise HandshakeError(f"node {hello.node!r} does not know the fleet secret")
 
 
-def make_transcript(hello: Hello, challenge: Challenge) -> Transcript:
-    """Return what both proofs of a handshake cover."""
+def _make_transcript(hello: Hello, challenge: Challenge) -> Transcript:
     return Transcript(hello.node, challenge.node, hello.nonce, challenge.nonce)
 
 
--- a/src/radishtrack/peer/link.py
+++ b/src/radishtrack/peer/link.py
@@ -1,4 +1,4 @@
-"""One authenticated connection between two nodes, from either side."""
+"""Client side of an authenticated connection between two nodes."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from radishtrack.peer.codec import CodecError, decode, encode
 from radishtrack.peer.handshake import (
     HandshakeError,
-    answer_challenge,
     make_hello,
+    make_proof,
 )
 from radishtrack.peer.messages import (
     MAX_FRAME_BYTES,
@@ -41,10 +41,10 @@
 
 
 class LinkClosed(Exception):
-    """Raised when a connection to a peer is lost or can't be made."""
+    """Raised when a connection to a peer is lost or cannot be opened."""
 
 
-def _ignore_bytes(_size: int) -> None:
+def _ignore_size(_size: int) -> None:
     return
 
 
@@ -59,53 +59,56 @@
     socket : ClientConnection
         The authenticated connection.
     incarnation : int
-        Of the peer's process.
+        Incarnation of the peer's process; see `Welcome`.
     """
 
     node: str
     socket: ClientConnection
     incarnation: int = 0
-    waiting: dict[int, asyncio.Queue[Message | None]] = attrs.field(factory=dict)
+    response_queues: dict[int, asyncio.Queue[Message | None]] = attrs.field(
+        factory=dict
+    )
+    """Queue of each pending request; None follows when the connection is lost."""
     closed: bool = False
-    observe_control: Callable[[int], None] = _ignore_bytes
-    """Told the size of every message that is not part of a statement."""
+    observe_control: Callable[[int], None] = _ignore_size
+    """Called with the size in bytes of each message outside of statements."""
     reader: asyncio.Task[None] | None = None
 
     async def call(self, message: Message, request: int, timeout_s: float) -> Message:
-        """Send a message and return the single answer with its request number.
+        """Send a message and return the single response with its request number.
 
         Raises
         ------
         LinkClosed
-            If the connection is lost or no answer comes in time.
+            If the connection is lost or no response arrives in time.
         """
         queue = self._register(request)
         try:
             frame = encode(message)
             self.observe_control(len(frame))
             await self._send_frame(frame)
-            # `asyncio.wait_for` can drop a cancellation that meets the answer.
+            # `asyncio.wait_for` can drop a cancellation that coincides with a response.
             async with asyncio.timeout(timeout_s):
-                answer = await queue.get()
+                response = await queue.get()
         except TimeoutError as error:
-            raise LinkClosed(f"peer {self.node} did not answer in time") from error
+            raise LinkClosed(f"peer {self.node} did not respond in time") from error
         finally:
-            self.waiting.pop(request, None)
-        if answer is None:
+            self.response_queues.pop(request, None)
+        if response is None:
             raise LinkClosed(f"connection to peer {self.node} lost")
-        return answer
+        return response
 
     async def execute(self, message: Execute) -> AsyncIterator[Message]:
-        """Send a statement and yield the messages of its answer.
+        """Send a statement and yield the messages of its response.
 
         Raises
         ------
         RequestError
-            Not run, if the statement was not sent; unknown, if the connection was
-            lost after sending.
+            With outcome "not run" if the statement was not sent, or "unknown" if the
+            connection was lost while or after sending it.
         """
         queue = self._register(message.request)
-        finished = False
+        is_finished = False
         try:
             if self.closed:
                 raise make_not_run("forward", "peer connection lost", peer=self.node)
@@ -114,23 +117,24 @@
             except LinkClosed as error:
                 raise make_unknown("forward", str(error), peer=self.node) from error
             except CodecError as error:
-                # The limit on statements is close to the limit on frames.
+                # A statement within its own size limit can exceed the frame limit.
                 raise make_not_run("encode", str(error), peer=self.node) from error
-            while not finished:
-                answer = await queue.get()
-                if answer is None:
+            while not is_finished:
+                response = await queue.get()
+                if response is None:
                     raise make_unknown(
                         "forward", "peer connection lost", peer=self.node
                     )
-                finished = isinstance(answer, Done | Failed)
-                yield answer
-                if isinstance(answer, Rows):
-                    # A lost connection shows in the queue, behind what has arrived.
+                is_finished = isinstance(response, Done | Failed)
+                yield response
+                if isinstance(response, Rows):
+                    # A lost connection is reported by the queue, after all messages
+                    # that arrived before.
                     with contextlib.suppress(LinkClosed):
                         await self.send(Credit(message.request, 1))
         finally:
-            self.waiting.pop(message.request, None)
-            if not finished and not self.closed:
+            self.response_queues.pop(message.request, None)
+            if not is_finished and not self.closed:
                 with contextlib.suppress(LinkClosed):
                     await self.send(Cancel(message.request))
 
@@ -152,14 +156,14 @@
             raise LinkClosed(f"connection to peer {self.node} lost") from error
 
     async def close(self) -> None:
-        """Close the connection and fail all waiting requests."""
+        """Close the connection and fail all pending requests."""
         await self.socket.close()
         if self.reader is not None:
             await asyncio.wait((self.reader,))
 
     def _register(self, request: int) -> asyncio.Queue[Message | None]:
         queue: asyncio.Queue[Message | None] = asyncio.Queue()
-        self.waiting[request] = queue
+        self.response_queues[request] = queue
         if self.closed:
             queue.put_nowait(None)
         return queue
@@ -170,16 +174,16 @@
                 if not isinstance(frame, bytes):
                     break
                 message = decode(frame)
-                queue = self.waiting.get(getattr(message, "request", 0))
-                # An answer without a waiting request is late: its request was
-                # cancelled, and it must not reach another one.
+                queue = self.response_queues.get(getattr(message, "request", 0))
+                # A response without a pending request belongs to a cancelled one and
+                # must not reach another request.
                 if queue is not None:
                     queue.put_nowait(message)
         except (WebSocketException, OSError, CodecError):
             pass
         finally:
             self.closed = True
-            for queue in self.waiting.values():
+            for queue in self.response_queues.values():
                 queue.put_nowait(None)
             await self.socket.close()
 
@@ -187,7 +191,7 @@
 async def open_link(
     address: str, node: str, secret: bytes, *, tls: ssl.SSLContext | None = None
 ) -> PeerLink:
-    """Connect to a peer and authenticate.
+    """Connect to a peer and authenticate both sides.
 
     Parameters
     ----------
@@ -203,7 +207,7 @@
     Raises
     ------
     LinkClosed
-        If the peer can't be reached, or isn't authentic.
+        If the peer is unreachable or not authentic.
     """
     scheme = "wss" if tls else "ws"
     try:
@@ -223,7 +227,7 @@
                 await socket.close()
                 raise
     except (OSError, TimeoutError, WebSocketException) as error:
-        raise LinkClosed(f"can't reach peer at {address}: {error!r}") from error
+        raise LinkClosed(f"cannot reach peer at {address}: {error!r}") from error
     except (HandshakeError, CodecError) as error:
         raise LinkClosed(f"peer at {address} refused: {error}") from error
     link = PeerLink(welcome.node, socket, welcome.incarnation)
@@ -236,8 +240,8 @@
     await socket.send(encode(hello))
     challenge = decode(_as_frame(await socket.recv()))
     if not isinstance(challenge, Challenge):
-        raise HandshakeError("peer did not answer with a challenge")
-    await socket.send(encode(answer_challenge(hello, challenge, secret)))
+        raise HandshakeError("peer did not send a challenge")
+    await socket.send(encode(make_proof(hello, challenge, secret)))
     welcome = decode(_as_frame(await socket.recv()))
     if not isinstance(welcome, Welcome):
         raise HandshakeError("peer did not accept the proof")
--- a/src/radishtrack/peer/messages.py
+++ b/src/radishtrack/peer/messages.py
@@ -1,4 +1,4 @@
-"""Messages between nodes; each is one CBOR array in one WebSocket frame."""
+"""Messages between nodes; each is a CBOR array in a WebSocket frame of its own."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @attrs.define(frozen=True)
 class Hello:
-    """Opens a connection."""
+    """Starts the handshake; sent by the connecting node."""
 
     version: int
     node: str
@@ -23,7 +23,7 @@
 
 @attrs.define(frozen=True)
 class Challenge:
-    """Answers `Hello` with proof that the server knows the fleet secret."""
+    """Response to `Hello`; proves that the accepting node knows the fleet secret."""
 
     version: int
     node: str
@@ -45,9 +45,9 @@
     Parameters
     ----------
     node : str
-        The node that accepted.
+        The node that accepted the connection.
     incarnation : int
-        Higher after each start of the node's process.
+        Number that increases with each start of the node's process.
     """
 
     node: str
@@ -56,35 +56,36 @@
 
 @attrs.define(frozen=True)
 class Execute:
-    """Asks a holder to execute one statement.
+    """Requests a holder to execute a statement.
 
     Parameters
     ----------
     request : int
         Identifies the request on this connection.
     session : int
-        Identifies the client's session on this connection; transactions belong to it.
+        Identifies the client's session on this connection, which owns transactions.
     organisation : str
-        The organisation whose key came with the request.
+        The organisation that the client's key belongs to.
     database : str
         The database to use.
     statement : str
-        SQL text without options.
+        SQL text without proxy options.
     kind : str
-        A `StatementKind` value.
+        A value of `radishtrack.routing.statement.Kind`.
     read_class : str
-        ``"strict"``, ``"session"`` or ``"aged"``; ignored for other statements.
+        ``"strict"``, ``"session"`` or ``"aged"``; ignored if the statement is no read.
     max_age_ms : float
-        Accepted age of the data in milliseconds, for aged reads.
+        Maximum age of the data in milliseconds, for aged reads.
     term, sequence : int
         The session's position in the database; both 0 if it has none.
     request_id : str
-        Idempotency identifier given by the client; empty if none.
+        Idempotency key given by the client; empty if none.
     timeout_ms : float
-        Time left for the request in milliseconds. Relative, because the clocks of
+        Remaining time for the request in milliseconds; relative, because the clocks of
         two nodes have no common origin.
     dirties_session : bool
-        Whether the connection must not be reused afterwards.
+        Whether the statement leaves state in its database connection, which must not
+        be reused then.
     """
 
     request: int
@@ -104,7 +105,7 @@
 
 @attrs.define(frozen=True)
 class ResultHead:
-    """Starts a result set: names and MySQL type codes of its columns."""
+    """Starts a result set with the names and MySQL type codes of its columns."""
 
     request: int
     names: tuple[str, ...]
@@ -121,7 +122,7 @@
 
 @attrs.define(frozen=True)
 class Credit:
-    """Permits the holder to send further `Rows` messages."""
+    """Permits the holder to send further `Rows` messages (flow control)."""
 
     request: int
     chunks: int
@@ -129,7 +130,7 @@
 
 @attrs.define(frozen=True)
 class Done:
-    """Ends a request that ran.
+    """Ends a request that was executed.
 
     Parameters
     ----------
@@ -138,7 +139,7 @@
     affected_rows, insert_id : int
         As in MySQL's OK packet.
     term, sequence : int
-        Position that the session has now seen; both 0 if unchanged.
+        New position of the session; both 0 if unchanged.
     served_by : str
         The member that executed the statement.
     role : str
@@ -159,7 +160,7 @@
 
 @attrs.define(frozen=True)
 class Failed:
-    """Ends a request that failed; carries a `Failure`."""
+    """Ends a request that failed; contains the fields of a `Failure`."""
 
     request: int
     step: str
@@ -173,21 +174,21 @@
 
 @attrs.define(frozen=True)
 class Cancel:
-    """The client went away; the holder stops the request."""
+    """Requests the holder to stop a request whose client has disconnected."""
 
     request: int
 
 
 @attrs.define(frozen=True)
 class EndSession:
-    """The client's session ended; the holder rolls back its transaction."""
+    """Requests the holder to roll back the transaction of a session that ended."""
 
     session: int
 
 
 @attrs.define(frozen=True)
 class VoteRequest:
-    """Asks whether the receiver can reach a member."""
+    """Requests a vote on whether a member is unreachable for the receiver."""
 
     request: int
     database: str
@@ -196,7 +197,7 @@
 
 @attrs.define(frozen=True)
 class Vote:
-    """Answers `VoteRequest`."""
+    """Response to `VoteRequest`."""
 
     request: int
     unreachable: bool
@@ -204,7 +205,7 @@
 
 @attrs.define(frozen=True)
 class TokensWanted:
-    """Asks the allocator of an organisation for rate tokens; see `token_codec`."""
+    """Requests rate tokens from an organisation's allocator; see `token_codec`."""
 
     request: int
     payload: bytes
@@ -212,7 +213,7 @@
 
 @attrs.define(frozen=True)
 class Tokens:
-    """Answers `TokensWanted`.
+    """Response to `TokensWanted`.
 
     Parameters
     ----------
@@ -221,7 +222,7 @@
     payload : bytes
         A grant; empty if the node does not hold the lease.
     lease_node : str
-        The node that does, as far as the sender knows; else empty.
+        The node that holds the lease, if the sender knows it; else empty.
     """
 
     request: int
@@ -231,7 +232,7 @@
 
 @attrs.define(frozen=True)
 class Leaving:
-    """The sender stops accepting work."""
+    """Announces that the sender stops accepting work."""
 
     node: str
     incarnation: int
@@ -239,16 +240,16 @@
 
 @attrs.define(frozen=True)
 class CopyRequest:
-    """Asks a peer for its copies of keys and configuration.
+    """Requests a peer's copies of keys and configuration.
 
     Parameters
     ----------
     request : int
         The request.
     keys_digest : str
-        Identifies the keys that the sender has.
+        Digest of the sender's keys.
     revision : int
-        The configuration that the sender has.
+        Revision of the sender's configuration.
     """
 
     request: int
@@ -258,16 +259,17 @@
 
 @attrs.define(frozen=True)
 class Copy:
-    """Answers `CopyRequest`.
+    """Response to `CopyRequest`.
 
     Parameters
     ----------
     request : int
         The request.
     contact_age_ms : float
-        Milliseconds since the sender last heard from the platform.
+        Milliseconds since the sender's last contact with the platform.
     objects : tuple of bytes
-        The sealed copy of the keys, then that of the configuration if it is newer.
+        The sealed copy of the keys, followed by that of the configuration if it is
+        newer than the receiver's.
     """
 
     request: int
@@ -277,12 +279,12 @@
 
 @attrs.define(frozen=True)
 class KeysChanged:
-    """Tells that keys were revoked, for a peer that is cut off from the platform.
+    """Announces revoked keys, for peers that cannot reach the platform.
 
     Parameters
     ----------
     objects : bytes
-        Sealed copy of the organisations' keys that changed.
+        Sealed copy of the changed organisations' keys.
     """
 
     objects: bytes
@@ -290,7 +292,7 @@
 
 @attrs.define(frozen=True)
 class RecordRequest:
-    """Asks a peer for its record of a database group."""
+    """Requests a peer's record of a database group."""
 
     request: int
     database: str
@@ -298,16 +300,16 @@
 
 @attrs.define(frozen=True)
 class Record:
-    """Answers `RecordRequest`.
+    """Response to `RecordRequest`.
 
     Parameters
     ----------
     request : int
         The request.
     version : int
-        Version of the platform's object; 0 if the sender has none.
+        Version of the platform's object; 0 if the sender has no record.
     value : bytes
-        The object's value as CBOR.
+        Value of the platform's object as CBOR.
     """
 
     request: int
@@ -317,10 +319,10 @@
 
 @attrs.define(frozen=True)
 class WithdrawBelief:
-    """Asks the receiver to drop its evidence of who leads a group.
+    """Requests the receiver to invalidate its evidence of a group's primary.
 
-    The sender has fenced the group's members, so the receiver can't gather new evidence
-    until a promotion has taken effect or was given up.
+    The sender has fenced the group's members, so the receiver cannot collect new
+    evidence until a promotion has completed or was abandoned.
     """
 
     request: int
@@ -329,27 +331,28 @@
 
 @attrs.define(frozen=True)
 class BeliefWithdrawn:
-    """Answers `WithdrawBelief` once it is in force."""
+    """Response to `WithdrawBelief`, after the evidence was invalidated."""
 
     request: int
 
 
 @attrs.define(frozen=True)
 class SharesWanted:
-    """Lends the sender's shares of all rates and asks for tokens.
+    """Delegates the sender's shares of all rates and requests tokens.
 
     Parameters
     ----------
     request : int
         The request.
     epoch : int
-        The receiver's period as holder of the rates.
+        Identifies the receiver's period as rate coordinator.
     reply : int
         Number of the last `SharesGranted` of this period that the sender has received.
     nodes : int
-        Nodes among which the sender divides the rates; it lends one part of so many.
+        Number of nodes among which the sender divides the rates; it delegates one such
+        share of each rate.
     wanted : tuple
-        Pairs of organisation and number of tokens.
+        Pairs of organisation and requested number of tokens.
     """
 
     request: int
@@ -361,20 +364,22 @@
 
 @attrs.define(frozen=True)
 class SharesGranted:
-    """Answers `SharesWanted`.
+    """Response to `SharesWanted`.
 
     Parameters
     ----------
     request : int
         The request.
     epoch : int
-        The sender's period as holder of the rates; 0 if it is not the holder.
+        Identifies the sender's period as rate coordinator; 0 if it is not the
+        coordinator.
     reply : int
-        Number of this answer in the period; 0 if the receiver's shares are returned.
+        Number of this response in the period; 0 if the receiver's shares are returned.
     granted : tuple
-        Organisation, number of tokens, and milliseconds until there may be more.
+        For each organisation: its name, number of tokens, and milliseconds until more
+        may be available.
     copy_age_ms : float
-        Age of the sender's copy of the store.
+        Age of the sender's copy of the store in milliseconds.
     """
 
     request: int
@@ -386,21 +391,21 @@
 
 @attrs.define(frozen=True)
 class SharesReturned:
-    """Ends the sender's loan; answered by `SharesGranted` with reply 0."""
+    """Ends the sender's delegation; the response is `SharesGranted` with reply 0."""
 
     request: int
 
 
 @attrs.define(frozen=True)
 class HolderAsked:
-    """Asks when the receiver last had an answer of the rates' holder."""
+    """Requests the age of the rate coordinator's last response to the receiver."""
 
     request: int
 
 
 @attrs.define(frozen=True)
 class HolderHeard:
-    """Answers `HolderAsked`; the age is in milliseconds."""
+    """Response to `HolderAsked`; the age is in milliseconds."""
 
     request: int
     age_ms: float
@@ -408,7 +413,7 @@
 
 @attrs.define(frozen=True)
 class DutyChanged:
-    """Tells that the sender has written a duty's record; see `Duty`."""
+    """Announces that the sender has written a duty's record; see `Duty`."""
 
     request: int
     name: str
@@ -419,14 +424,14 @@
 
 @attrs.define(frozen=True)
 class DutyNoted:
-    """Answers `DutyChanged`."""
+    """Response to `DutyChanged`."""
 
     request: int
 
 
 @attrs.define(frozen=True)
 class ReportsWanted:
-    """Asks a node for the members' reports that it has and has not yet passed on.
+    """Requests the members' reports that the receiver has not yet sent to the sender.
 
     Parameters
     ----------
@@ -446,14 +451,14 @@
 
 @attrs.define(frozen=True)
 class Reports:
-    """Answers `ReportsWanted`.
+    """Response to `ReportsWanted`.
 
     Parameters
     ----------
     request : int
         The request.
     number : int
-        Number of this answer; 0 if the sender does not poll for others.
+        Number of this response; 0 if the sender does not poll for other nodes.
     revision : int
         Revision of the platform's store up to which the sender's copy is complete.
     catalog : int
@@ -463,11 +468,11 @@
     fleet : int
         Digest of the nodes, duties and terms in that copy.
     confirmed_age_ms : float
-        Milliseconds since the sender asked the store for that revision.
+        Milliseconds since the sender requested that revision from the store.
     reports : tuple
-        For each member: group, name, whether it leads, term, term and sequence of the
-        received and of the applied position, fenced term, lag, and the age of the
-        report, the last two in milliseconds. An age counts up to this answer.
+        For each member: group, name, whether it is the primary, term, term and sequence
+        of the received and of the applied position, fenced term, replication lag, and
+        age of the report when this response was sent. The last two are in milliseconds.
     """
 
     request: int
@@ -551,4 +556,4 @@
     ReportsWanted,
     Reports,
 )
-"""The place in this tuple is the type number on the wire; only append."""
+"""The index in this tuple is the type number on the wire; only append to it."""
--- a/src/radishtrack/peer/server.py
+++ b/src/radishtrack/peer/server.py
@@ -1,4 +1,4 @@
-"""Accepts connections of peers and hands their messages to handlers."""
+"""Accepts connections from peers and passes their messages to handlers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from radishtrack.errors import Outcome
 from radishtrack.events import Event, log_event
 from radishtrack.peer.codec import CodecError, decode, encode, encode_rows
-from radishtrack.peer.handshake import HandshakeError, answer_hello, check_proof
+from radishtrack.peer.handshake import HandshakeError, make_challenge, verify_proof
 from radishtrack.peer.link import INITIAL_CREDIT_CHUNKS, PING_INTERVAL_S, PING_TIMEOUT_S
 from radishtrack.peer.messages import (
     MAX_FRAME_BYTES,
@@ -34,7 +34,7 @@
     import ssl
 
 HANDSHAKE_TIMEOUT_S: Final = 2.0
-READER_TIMEOUT_S: Final = 30.0
+CREDIT_TIMEOUT_S: Final = 30.0
 
 ExecuteHandler = Callable[[str, Execute], AsyncIterator[Message]]
 EndSessionHandler = Callable[[str, int], Awaitable[None]]
@@ -43,22 +43,22 @@
 
 @attrs.define
 class PeerHandlers:
-    """What a node does with the messages of its peers.
+    """Handlers for the messages of a node's peers.
 
     Parameters
     ----------
     execute : callable
-        Takes the connection's identifier and a statement; yields the answer.
+        Takes the connection's identifier and a statement; yields the response.
     end_session : callable
         Takes the connection's identifier and a session number.
     end_connection : callable
         Takes the connection's identifier; ends all sessions of the connection.
     call : callable
-        Takes the peer's node name and any other message; returns the answer or None.
+        Takes the peer's node name and any other message; returns the response or None.
     observe_control : callable
-        Takes the size of every answer that is not part of a statement, in bytes.
+        Called with the size in bytes of each response outside of statements.
     incarnation : int
-        Of this node's process.
+        Incarnation of this node's process; see `Welcome`.
     """
 
     execute: ExecuteHandler
@@ -75,9 +75,9 @@
 
     socket: ServerConnection
     node: str
-    identifier: str
+    connection_id: str
     handlers: PeerHandlers
-    running: dict[int, asyncio.Task[None]] = attrs.field(factory=dict)
+    tasks: dict[int, asyncio.Task[None]] = attrs.field(factory=dict)
     credits: dict[int, asyncio.Semaphore] = attrs.field(factory=dict)
 
     async def read(self) -> None:
@@ -87,11 +87,11 @@
             self._dispatch(decode(frame))
 
     async def end(self) -> None:
-        for task in self.running.values():
+        for task in self.tasks.values():
             task.cancel()
-        if self.running:
-            await asyncio.wait(self.running.values())
-        await self.handlers.end_connection(self.identifier)
+        if self.tasks:
+            await asyncio.wait(self.tasks.values())
+        await self.handlers.end_connection(self.connection_id)
 
     def _dispatch(self, message: Message) -> None:
         match message:
@@ -101,58 +101,60 @@
                     for _ in range(min(message.chunks, INITIAL_CREDIT_CHUNKS)):
                         credit.release()
             case Cancel():
-                task = self.running.get(message.request)
+                task = self.tasks.get(message.request)
                 if task is not None:
                     task.cancel()
             case _:
+                # Only statements can be cancelled. Other tasks get a negative key that
+                # no statement has.
                 number = -id(message)
                 if isinstance(message, Execute):
                     number = message.request
                     self.credits[number] = asyncio.Semaphore(INITIAL_CREDIT_CHUNKS)
                 task = asyncio.create_task(self._handle(message))
-                self.running[number] = task
-                task.add_done_callback(lambda _: self._forget(number))
+                self.tasks[number] = task
+                task.add_done_callback(lambda _: self._remove_task(number))
 
-    def _forget(self, number: int) -> None:
-        self.running.pop(number, None)
+    def _remove_task(self, number: int) -> None:
+        self.tasks.pop(number, None)
         self.credits.pop(number, None)
 
     async def _handle(self, message: Message) -> None:
-        # A lost connection ends the reader, which cleans up.
+        # A lost connection also ends `read`, after which `end` cleans up.
         with contextlib.suppress(WebSocketException):
             if isinstance(message, Execute):
                 await self._execute(message)
             elif isinstance(message, EndSession):
-                await self.handlers.end_session(self.identifier, message.session)
+                await self.handlers.end_session(self.connection_id, message.session)
             else:
-                answer = await self.handlers.call(self.node, message)
-                if answer is not None:
-                    frame = encode(answer)
+                response = await self.handlers.call(self.node, message)
+                if response is not None:
+                    frame = encode(response)
                     self.handlers.observe_control(len(frame))
                     await self.socket.send(frame)
 
     async def _execute(self, message: Execute) -> None:
         credit = self.credits[message.request]
-        answers = self.handlers.execute(self.identifier, message)
+        responses = self.handlers.execute(self.connection_id, message)
         try:
-            async with contextlib.aclosing(answers):  # type: ignore[type-var]
-                async for answer in answers:
-                    if not isinstance(answer, Rows):
-                        await self.socket.send(encode(answer))
+            async with contextlib.aclosing(responses):  # type: ignore[type-var]
+                async for response in responses:
+                    if not isinstance(response, Rows):
+                        await self.socket.send(encode(response))
                         continue
-                    for frame in encode_rows(answer):
-                        # A reader that takes nothing for this long would keep a
-                        # database connection; the request is abandoned instead.
-                        async with asyncio.timeout(READER_TIMEOUT_S):
+                    for frame in encode_rows(response):
+                        # A client that stops reading would occupy a database
+                        # connection, so the request is abandoned after a timeout.
+                        async with asyncio.timeout(CREDIT_TIMEOUT_S):
                             await credit.acquire()
                         await self.socket.send(frame)
         except (TimeoutError, CodecError) as error:
-            reason = str(error) or "the reader took no rows in time"
-            await self.socket.send(encode(_make_broken(message.request, reason)))
+            reason = str(error) or "the client did not read rows in time"
+            await self.socket.send(encode(_make_send_failure(message.request, reason)))
 
 
-def _make_broken(request: int, reason: str) -> Failed:
-    # The statement ran on the member; only its result could not be passed on.
+def _make_send_failure(request: int, reason: str) -> Failed:
+    # The statement ran on the member, but its result could not be forwarded.
     return Failed(request, "send", "", Outcome.UNKNOWN.value, 9002, reason, 0.0, False)
 
 
@@ -165,7 +167,7 @@
     *,
     tls: ssl.SSLContext | None = None,
 ) -> Server:
-    """Listen for peers.
+    """Start to accept connections from peers.
 
     Parameters
     ----------
@@ -174,9 +176,9 @@
     node : str
         Name of this node.
     secret : bytes
-        The fleet secret; peers that don't know it are refused.
+        The fleet secret; peers that do not know it are refused.
     handlers : PeerHandlers
-        What to do with messages.
+        Handlers for the peers' messages.
     tls : ssl.SSLContext, optional
         Server context for TLS.
     """
@@ -220,12 +222,12 @@
     hello = decode(_as_frame(await socket.recv()))
     if not isinstance(hello, Hello):
         raise HandshakeError("peer did not start with Hello")
-    challenge = answer_hello(hello, node, secret)
+    challenge = make_challenge(hello, node, secret)
     await socket.send(encode(challenge))
     proof = decode(_as_frame(await socket.recv()))
     if not isinstance(proof, Proof):
         raise HandshakeError("peer did not send a proof")
-    check_proof(hello, challenge, proof, secret)
+    verify_proof(hello, challenge, proof, secret)
     await socket.send(encode(Welcome(node, incarnation)))
     return hello.node
 
--- a/src/radishtrack/peer/token_codec.py
+++ b/src/radishtrack/peer/token_codec.py
@@ -1,4 +1,4 @@
-"""Token requests and grants as the payload of peer messages."""
+"""Encodes token requests and grants as payloads of peer messages."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def encode_request(request: TokenRequest) -> bytes:
-    """Return the payload of a request."""
+    """Return the payload for a token request."""
     return cbor2.dumps(attrs.astuple(request))
 
 
 def decode_request(payload: bytes) -> TokenRequest:
-    """Return the request in a payload.
+    """Return the token request in a payload.
 
     Raises
     ------
@@ -26,13 +26,13 @@
     """
     try:
         fields: list[Any] = cbor2.loads(payload)
-        organisation, holder, request_id, wanted, demand, *rest = fields
+        organisation, holder, request_id, token_count, demand, *rest = fields
         settlements, echo, revision, leaving = rest
         return TokenRequest(
             organisation,
             holder,
             request_id,
-            wanted,
+            token_count,
             demand,
             tuple(Settlement(*entry) for entry in settlements),
             None if echo is None else Stamp(*echo),
@@ -44,12 +44,12 @@
 
 
 def encode_grant(grant: TokenGrant | None) -> bytes:
-    """Return the payload of a grant; None says that the node is not the allocator."""
+    """Return the payload for a grant; None means that the node is not the allocator."""
     return b"" if grant is None else cbor2.dumps(attrs.astuple(grant))
 
 
 def decode_grant(payload: bytes) -> TokenGrant | None:
-    """Return the grant in a payload, or None from a node that is not the allocator.
+    """Return the grant in a payload, or None if the sender is not the allocator.
 
     Raises
     ------
--- a/tests/test_peer_codec.py
+++ b/tests/test_peer_codec.py
@@ -1,4 +1,4 @@
-"""Guards the peer protocol against malformed frames, other versions and strangers."""
+"""Tests that peers reject malformed frames, other versions and a wrong secret."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from radishtrack.peer.codec import CodecError, decode, encode
 from radishtrack.peer.handshake import (
     HandshakeError,
-    answer_challenge,
-    answer_hello,
-    check_proof,
+    make_challenge,
     make_hello,
+    make_proof,
+    verify_proof,
 )
 from radishtrack.peer.messages import (
     MAX_FRAME_BYTES,
@@ -106,7 +106,7 @@
         {"type": 1},
     ],
 )
-def test_frames_of_another_form_are_refused(content: object) -> None:
+def test_malformed_frames_are_rejected(content: object) -> None:
     with pytest.raises(CodecError):
         decode(cbor2.dumps(content))
 
@@ -118,49 +118,49 @@
 
 def test_a_handshake_succeeds_with_the_same_secret() -> None:
     hello = make_hello("p1")
-    challenge = answer_hello(hello, "p2", SECRET)
-    check_proof(hello, challenge, answer_challenge(hello, challenge, SECRET), SECRET)
+    challenge = make_challenge(hello, "p2", SECRET)
+    verify_proof(hello, challenge, make_proof(hello, challenge, SECRET), SECRET)
 
 
-def test_a_server_without_the_secret_is_refused() -> None:
+def test_a_server_without_the_secret_is_rejected() -> None:
     hello = make_hello("p1")
-    challenge = answer_hello(hello, "p2", b"another")
+    challenge = make_challenge(hello, "p2", b"another")
     with pytest.raises(HandshakeError, match="p2"):
-        answer_challenge(hello, challenge, SECRET)
+        make_proof(hello, challenge, SECRET)
 
 
-def test_a_client_without_the_secret_is_refused() -> None:
+def test_a_client_without_the_secret_is_rejected() -> None:
     hello = make_hello("p1")
-    challenge = answer_hello(hello, "p2", SECRET)
+    challenge = make_challenge(hello, "p2", SECRET)
     with pytest.raises(HandshakeError, match="p1"):
-        check_proof(hello, challenge, Proof(b"x" * 32), SECRET)
+        verify_proof(hello, challenge, Proof(b"x" * 32), SECRET)
 
 
-def test_a_reflected_proof_is_refused() -> None:
-    """The server's own proof must not pass as the client's."""
+def test_a_reflected_proof_is_rejected() -> None:
+    """The server's own proof must not be accepted as the client's."""
     hello = make_hello("p1")
-    challenge = answer_hello(hello, "p2", SECRET)
+    challenge = make_challenge(hello, "p2", SECRET)
     with pytest.raises(HandshakeError):
-        check_proof(hello, challenge, Proof(challenge.proof), SECRET)
+        verify_proof(hello, challenge, Proof(challenge.proof), SECRET)
 
 
-def test_a_proof_of_another_handshake_is_refused() -> None:
+def test_a_proof_of_another_handshake_is_rejected() -> None:
     hello = make_hello("p1")
-    old = answer_challenge(hello, answer_hello(hello, "p2", SECRET), SECRET)
+    old = make_proof(hello, make_challenge(hello, "p2", SECRET), SECRET)
     with pytest.raises(HandshakeError):
-        check_proof(hello, answer_hello(hello, "p2", SECRET), old, SECRET)
+        verify_proof(hello, make_challenge(hello, "p2", SECRET), old, SECRET)
 
 
-def test_another_version_is_refused_by_both_sides() -> None:
+def test_another_version_is_rejected_by_both_sides() -> None:
     hello = attrs.evolve(make_hello("p1"), version=99)
     with pytest.raises(HandshakeError, match="version 99"):
-        answer_hello(hello, "p2", SECRET)
-    challenge = answer_hello(make_hello("p1"), "p2", SECRET)
+        make_challenge(hello, "p2", SECRET)
+    challenge = make_challenge(make_hello("p1"), "p2", SECRET)
     with pytest.raises(HandshakeError, match="version 99"):
-        answer_challenge(make_hello("p1"), attrs.evolve(challenge, version=99), SECRET)
+        make_proof(make_hello("p1"), attrs.evolve(challenge, version=99), SECRET)
 
 
-def test_token_messages_survive_the_wire() -> None:
+def test_token_messages_are_decoded_as_encoded() -> None:
     request = TokenRequest(
         "o", "p1.7", 3, 5, 2.5, (Settlement(1, 2, 0),), Stamp(1, 2, 3.5), 4, True
     )
@@ -171,7 +171,7 @@
 
 
 @pytest.mark.parametrize("payload", [b"\x00", cbor2.dumps([1, 2]), cbor2.dumps("x")])
-def test_malformed_token_messages_are_refused(payload: bytes) -> None:
+def test_malformed_token_messages_are_rejected(payload: bytes) -> None:
     with pytest.raises(CodecError):
         decode_request(payload)
     with pytest.raises(CodecError):
--- a/tests/test_peer_link.py
+++ b/tests/test_peer_link.py
@@ -1,4 +1,4 @@
-"""Guards answers between nodes: whole, to the right request, with a known outcome."""
+"""Tests that responses of peers are complete, well assigned and have an outcome."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 @attrs.define
 class Holder:
-    """Answers statements as the text of the statement says."""
+    """Holder whose response depends on the text of the statement."""
 
     ended: list[str] = attrs.field(factory=list)
     cancelled: list[int] = attrs.field(factory=list)
@@ -112,50 +112,50 @@
         await server.wait_closed()
 
 
-async def test_the_whole_answer_arrives_in_order() -> None:
+async def test_all_messages_of_a_response_arrive_in_order() -> None:
     async with open_pair(Holder()) as link:
-        answer = [message async for message in link.execute(make_execute(1, "many"))]
-    rows = [row for part in answer if isinstance(part, Rows) for row in part.rows]
+        response = [message async for message in link.execute(make_execute(1, "many"))]
+    rows = [row for part in response if isinstance(part, Rows) for row in part.rows]
     assert rows == [(str(index),) for index in range(50)]
-    assert answer[-1] == make_done(1)
+    assert response[-1] == make_done(1)
     assert link.incarnation == 7
 
 
 async def test_a_chunk_over_the_frame_limit_is_split() -> None:
-    """Once, a chunk of 200 wide rows could not be sent and failed the request."""
+    """Without splitting, a chunk of 200 wide rows made the request fail."""
     async with open_pair(Holder()) as link:
-        answer = [message async for message in link.execute(make_execute(1, "large"))]
-    parts = [part for part in answer if isinstance(part, Rows)]
+        response = [message async for message in link.execute(make_execute(1, "large"))]
+    parts = [part for part in response if isinstance(part, Rows)]
     rows = [row for part in parts for row in part.rows]
     assert len(parts) > 2
     assert rows == [*((str(index) * 5000,) for index in range(200)), ("0",)]
-    assert answer[-1] == make_done(1)
+    assert response[-1] == make_done(1)
 
 
-async def test_a_slow_reader_stops_the_holder() -> None:
-    """Without credit the holder would keep sending and hold the rows in memory."""
+async def test_a_slow_reader_pauses_the_holder() -> None:
+    """Without flow control, unread rows would accumulate in memory."""
     holder = Holder()
     async with open_pair(holder) as link:
-        answer = link.execute(make_execute(1, "many"))
-        await anext(answer)
+        response = link.execute(make_execute(1, "many"))
+        await anext(response)
         await asyncio.sleep(0.2)
         assert holder.sent_chunks < 10
-        rest = [message async for message in answer]
+        rest = [message async for message in response]
         assert rest[-1] == make_done(1)
 
 
 async def test_a_cancelled_request_is_cancelled_at_the_holder() -> None:
     holder = Holder()
     async with open_pair(holder) as link:
-        answer = link.execute(make_execute(1, "many"))
-        await anext(answer)
-        await answer.aclose()  # type: ignore[attr-defined]
+        response = link.execute(make_execute(1, "many"))
+        await anext(response)
+        await response.aclose()  # type: ignore[attr-defined]
         await asyncio.sleep(0.1)
         assert holder.cancelled == [1]
-        assert link.waiting == {}
+        assert link.response_queues == {}
 
 
-async def test_a_late_answer_never_reaches_another_request() -> None:
+async def test_a_late_response_does_not_reach_another_request() -> None:
     holder = Holder()
     async with open_pair(holder) as link:
         late = link.execute(make_execute(1, "wait"))
@@ -164,14 +164,14 @@
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
         holder.release.set()
-        answer = [message async for message in link.execute(make_execute(2))]
-    assert {message.request for message in answer} == {2}  # type: ignore[union-attr]
+        response = [message async for message in link.execute(make_execute(2))]
+    assert {message.request for message in response} == {2}  # type: ignore[union-attr]
 
 
 async def test_a_lost_connection_leaves_the_outcome_unknown() -> None:
     async with open_pair(Holder()) as link:
-        answer = link.execute(make_execute(1, "wait"))
-        waiting = asyncio.ensure_future(anext(answer))
+        response = link.execute(make_execute(1, "wait"))
+        waiting = asyncio.ensure_future(anext(response))
         await asyncio.sleep(0.05)
         link.socket.transport.abort()
         with pytest.raises(RequestError) as caught:
@@ -203,38 +203,38 @@
     assert holder.ended == ["connection"]
 
 
-async def test_calls_are_answered_or_time_out() -> None:
+async def test_calls_return_a_response_or_time_out() -> None:
     async with open_pair(Holder()) as link:
         assert await link.call(VoteRequest(1, "d", "m1"), 1, 1.0) == Vote(1, True)
         with pytest.raises(LinkClosed):
             await link.call(VoteRequest(2, "d", "silent"), 2, 0.05)
-        assert link.waiting == {}
+        assert link.response_queues == {}
 
 
-class SilentSocket:
-    """Takes messages and never ends."""
+class UnresponsiveSocket:
+    """Accepts messages and never responds."""
 
     async def send(self, _frame: bytes) -> None:
         return
 
 
 @pytest.mark.parametrize("steps", range(5))
-async def test_an_answer_does_not_undo_a_cancellation(steps: int) -> None:
-    """`asyncio.wait_for` of Python 3.11 drops a cancellation that an answer meets.
+async def test_a_response_does_not_undo_a_cancellation(steps: int) -> None:
+    """`asyncio.wait_for` in Python 3.11 can drop a cancellation as a response arrives.
 
-    A loop that asks peers again and again then went on after its task was cancelled.
+    A loop that called peers repeatedly then continued after its task was cancelled.
     """
-    link = PeerLink("edge-2", SilentSocket())  # type: ignore[arg-type]
+    link = PeerLink("edge-2", UnresponsiveSocket())  # type: ignore[arg-type]
 
-    async def ask_forever() -> None:
+    async def call_repeatedly() -> None:
         for request in range(1, 1_000):
             await link.call(VoteRequest(request, "strekk", "i-1"), request, 10.0)
 
-    task = asyncio.create_task(ask_forever())
-    while 1 not in link.waiting:
+    task = asyncio.create_task(call_repeatedly())
+    while 1 not in link.response_queues:
         await asyncio.sleep(0)
     await asyncio.sleep(0.01)
-    link.waiting[1].put_nowait(Vote(1, True))
+    link.response_queues[1].put_nowait(Vote(1, True))
     for _ in range(steps):
         await asyncio.sleep(0)
     task.cancel()
@@ -264,7 +264,7 @@
     return certificate, key
 
 
-async def test_peers_use_tls_and_refuse_strangers(tmp_path: Path) -> None:
+async def test_peers_use_tls_and_reject_untrusted_certificates(tmp_path: Path) -> None:
     certificate, key = make_certificate(tmp_path)
     server_tls = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
     server_tls.load_cert_chain(certificate, key)
