--- a/src/radishtrack/frontend/connection.py
+++ b/src/radishtrack/frontend/connection.py
@@ -260,7 +260,7 @@
         control: ConnectionControl,
         identity_provider: IdentityProvider,
         max_packet_bytes: int,
-        refuse_reason: Callable[[], str | None],
+        get_refusal_reason: Callable[[], str | None],
         **arguments: Any,
     ) -> None:
         super().__init__(
@@ -270,7 +270,7 @@
             **arguments,
         )
         self.max_packet_bytes = max_packet_bytes
-        self.refuse_reason = refuse_reason
+        self.get_refusal_reason = get_refusal_reason
 
     async def _client_connected_cb(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -297,7 +297,7 @@
         writer: asyncio.StreamWriter,
     ) -> None:
         try:
-            reason = self.refuse_reason()
+            reason = self.get_refusal_reason()
             if reason is not None:
                 raise TooManyConnections(reason)
             number = await self.control.add(connection)
--- a/src/radishtrack/proxy/node.py
+++ b/src/radishtrack/proxy/node.py
@@ -154,7 +154,7 @@
             control=self.control,
             identity_provider=KeyIdentityProvider(self._check_key),
             max_packet_bytes=self.settings.limits.max_statement_bytes,
-            refuse_reason=self._refuse_reason,
+            get_refusal_reason=self._refuse_reason,
             capabilities=DEFAULT_SERVER_CAPABILITIES,
             ssl=make_client_side_tls(self.settings),
         )
--- a/tests/test_frontend_stream.py
+++ b/tests/test_frontend_stream.py
@@ -63,7 +63,7 @@
         control=control,
         identity_provider=KeyIdentityProvider(lambda *_: None),
         max_packet_bytes=LIMIT,
-        refuse_reason=lambda: None,
+        get_refusal_reason=lambda: None,
     )
     await server.start_server(host="127.0.0.1", port=0)
     port = server.sockets()[0].getsockname()[1]
