--- a/src/radishtrack/frontend/__init__.py
+++ b/src/radishtrack/frontend/__init__.py
@@ -1,1 +1,1 @@
-"""The clients' side: a MySQL server over `mysql-mimic`."""
+"""The MySQL server for clients, based on `mysql-mimic`."""
--- a/src/radishtrack/frontend/columns.py
+++ b/src/radishtrack/frontend/columns.py
@@ -1,4 +1,4 @@
-"""Columns of results whose values are already text."""
+"""Result columns for values that are already text."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 from radishtrack.backend.connection import BINARY_FLAG
 
-CACHED_COLUMNS: Final = 4_096
-"""Columns are not changed after they are made, so statements can share them."""
+COLUMN_CACHE_SIZE: Final = 4_096
+"""Columns are not modified after creation, so statements can share them."""
 
 _INTEGERS: Final = frozenset(
     {
@@ -29,42 +29,44 @@
 _TIMES: Final = frozenset({ColumnType.DATETIME, ColumnType.TIMESTAMP})
 
 
-@lru_cache(maxsize=CACHED_COLUMNS)
+@lru_cache(maxsize=COLUMN_CACHE_SIZE)
 def make_column(name: str, type_code: int) -> ResultColumn:
-    """Return a column that sends text values under the database's type.
+    """Return a column of the database's type for values that are text.
 
     Parameters
     ----------
     name : str
         Name of the column.
     type_code : int
-        MySQL type code that the database reported, plus `BINARY_FLAG` for a column of
-        bytes; TEXT and BLOB columns have the same type code.
+        MySQL type code reported by the database, with `BINARY_FLAG` for a column of
+        bytes, because TEXT and BLOB columns have the same type code.
     """
-    kind = ColumnType(type_code & ~BINARY_FLAG)
-    if kind in _INTEGERS:
-        return _make(name, ColumnType.LONGLONG, int)
-    if kind in _FLOATS:
-        return _make(name, ColumnType.DOUBLE, float)
-    if kind in _TIMES:
-        return _make(name, ColumnType.DATETIME, datetime.fromisoformat)
-    if kind is ColumnType.DATE:
-        return _make(name, ColumnType.DATE, date.fromisoformat)
+    column_type = ColumnType(type_code & ~BINARY_FLAG)
+    if column_type in _INTEGERS:
+        return _make_result_column(name, ColumnType.LONGLONG, int)
+    if column_type in _FLOATS:
+        return _make_result_column(name, ColumnType.DOUBLE, float)
+    if column_type in _TIMES:
+        return _make_result_column(name, ColumnType.DATETIME, datetime.fromisoformat)
+    if column_type is ColumnType.DATE:
+        return _make_result_column(name, ColumnType.DATE, date.fromisoformat)
     if type_code & BINARY_FLAG:
-        return _make(name, ColumnType.BLOB, _identity, CharacterSet.binary)
-    return _make(name, ColumnType.VAR_STRING, _identity)
+        return _make_result_column(
+            name, ColumnType.BLOB, _return_unchanged, CharacterSet.binary
+        )
+    return _make_result_column(name, ColumnType.VAR_STRING, _return_unchanged)
 
 
-def _make(
+def _make_result_column(
     name: str,
-    kind: ColumnType,
+    column_type: ColumnType,
     parse: Any,
     character_set: CharacterSet = CharacterSet.utf8mb4,
 ) -> ResultColumn:
-    encode = ResultColumn(name=name, type=kind).binary_encoder
+    encode = ResultColumn(name=name, type=column_type).binary_encoder
     return ResultColumn(
         name=name,
-        type=kind,
+        type=column_type,
         character_set=character_set,
         text_encoder=_encode_text,
         binary_encoder=lambda column, value: encode(column, parse(value)),
@@ -75,5 +77,5 @@
     return value if isinstance(value, bytes) else value.encode()
 
 
-def _identity(value: Any) -> Any:
+def _return_unchanged(value: Any) -> Any:
     return value
--- a/src/radishtrack/frontend/connection.py
+++ b/src/radishtrack/frontend/connection.py
@@ -1,4 +1,4 @@
-"""One client connection, with what `mysql-mimic` leaves to its users."""
+"""Client connections: limits, timeouts and fixes for `mysql-mimic`."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 from radishtrack.events import Event, log_event
 
 PACKET_TOO_LARGE: Final = 1153
-READER_TIMEOUT_S: Final = 30.0
+WRITE_TIMEOUT_S: Final = 30.0
 CLOSE_DELAY_S: Final = 0.1
 
 
 class PacketTooLarge(Exception):
-    """Raised when a client sends a packet over the limit."""
+    """Raised when a client sends a packet that exceeds the size limit."""
 
 
 @attrs.define(slots=False)
 class BoundedReader:
-    """Stream reader that refuses packets over a limit.
+    """Stream reader that rejects packets over a size limit.
 
-    `mysql-mimic` reads a packet's header with ``read(4)``, which may return fewer bytes
-    when the header is split over two TCP segments, and reads a packet of any announced
+    `mysql-mimic` reads a packet's header with ``read(4)``, which can return fewer bytes
+    if the header is split over two TCP segments, and reads a packet of any announced
     length into memory.
     """
 
@@ -52,7 +52,7 @@
         self.reader._transport = transport  # type: ignore[attr-defined]
 
     async def read(self, count: int) -> bytes:
-        """Return exactly `count` bytes, or none at the end of the stream."""
+        """Return exactly `count` bytes, or no bytes at the end of the stream."""
         try:
             return await self.reader.readexactly(count)
         except asyncio.IncompleteReadError as error:
@@ -66,7 +66,7 @@
         Raises
         ------
         PacketTooLarge
-            If `count` is over the limit.
+            If `count` exceeds the limit.
         """
         if count > self.max_packet_bytes:
             raise PacketTooLarge(
@@ -77,9 +77,9 @@
 
 @attrs.define(slots=False)
 class TimedWriter:
-    """Stream writer that gives up on a client that reads nothing.
+    """Stream writer that aborts the connection if the client does not read in time.
 
-    The library's packet stream is a compiled class that can't be extended, so its
+    The library's packet stream is a compiled class that cannot be subclassed, so its
     reader and writer are wrapped instead.
     """
 
@@ -100,17 +100,17 @@
         self.writer._transport = transport  # type: ignore[attr-defined]
 
     def write(self, data: bytes) -> None:
-        """Buffer data for sending."""
+        """Add data to the send buffer."""
         self.writer.write(data)
 
     async def drain(self) -> None:
-        """Wait until the client has read enough, within `READER_TIMEOUT_S`."""
+        """Wait until the send buffer has room, for at most `WRITE_TIMEOUT_S`."""
         if self.writer.transport.get_write_buffer_size() == 0:
-            # Nothing is left to wait for; this only reports a lost connection.
+            # The buffer is empty; this call only raises if the connection is lost.
             await self.writer.drain()
             return
         try:
-            async with asyncio.timeout(READER_TIMEOUT_S):
+            async with asyncio.timeout(WRITE_TIMEOUT_S):
                 await self.writer.drain()
         except TimeoutError as error:
             self.writer.transport.abort()
@@ -123,17 +123,17 @@
 
 @attrs.define
 class HandshakeStream:
-    """Packet stream of the connection phase, with an upgrade to TLS that loses nothing.
+    """Packet stream of the connection phase, whose upgrade to TLS keeps early bytes.
 
-    A client may send the TLS handshake right behind its SSL request. These bytes are
-    then in the reader's buffer, where the library's `start_tls` leaves them.
+    A client may send its TLS handshake directly after the SSL request. These bytes may
+    already be in the reader's buffer, where the library's `start_tls` leaves them.
 
     Parameters
     ----------
     stream : MysqlStream
         The library's stream.
     reader : asyncio.StreamReader
-        The reader under it.
+        The reader that the stream uses.
     """
 
     stream: MysqlStream
@@ -145,38 +145,39 @@
     async def start_tls(self, context: ssl.SSLContext) -> None:
         """Upgrade the connection; see `MysqlStream.start_tls`."""
         transport = self.stream.writer.transport
-        # Bytes that arrive before the TLS protocol is in place would be lost too.
+        # Bytes that arrive before the TLS protocol is installed would also be lost.
         transport.pause_reading()
         buffer = self.reader._buffer  # type: ignore[attr-defined]
-        early = bytes(buffer)
+        early_bytes = bytes(buffer)
         buffer.clear()
         upgrade = asyncio.ensure_future(self.stream.start_tls(context))
-        # The TLS protocol is in place after the first turn, connected after the next.
+        # The first iteration of the event loop installs the TLS protocol, the second
+        # one connects it.
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        if early:
+        if early_bytes:
             protocol = transport.get_protocol()
-            protocol.get_buffer(len(early))[: len(early)] = early
-            protocol.buffer_updated(len(early))
+            protocol.get_buffer(len(early_bytes))[: len(early_bytes)] = early_bytes
+            protocol.buffer_updated(len(early_bytes))
         await upgrade
 
 
 @attrs.define(frozen=True)
 class OkFields:
-    """What the next OK packet reports."""
+    """Fields of the next OK packet."""
 
     affected_rows: int = 0
     last_insert_id: int = 0
 
 
 class ClientConnection(Connection):
-    """Connection that reports affected rows, checks logins and resets sessions."""
+    """Connection that reports affected rows, ends failed logins and resets sessions."""
 
     next_ok: OkFields | None = None
     stream: Any
 
     async def connection_phase(self) -> None:
-        """Shake hands, log in and upgrade to TLS if the client asks for it."""
+        """Perform the handshake and login, with TLS if the client requests it."""
         stream: Any = self.stream
         self.stream = HandshakeStream(stream, stream.reader.reader)
         try:
@@ -185,10 +186,11 @@
             self.stream = stream
 
     async def authenticate(self, **arguments: Any) -> None:
-        """Check the login; a failed one leaves the session without a user.
+        """Check the login; if it fails, close the connection.
 
-        `mysql-mimic` goes on to the command phase after a failed login. The session's
-        `init` ends such a connection, and `handle_query` refuses to run without a user.
+        `mysql-mimic` continues with the command phase after a failed login. The session
+        has no user then: its `init` ends the connection, and `handle_query` refuses
+        statements.
         """
         self.session.username = None
         await super().authenticate(**arguments)
@@ -196,19 +198,19 @@
             self.stream.writer.close()
 
     def ok(self, **fields: Any) -> bytes:
-        """Return an OK packet with the fields of the statement just executed."""
+        """Return an OK packet with the fields of the last executed statement."""
         if self.next_ok is not None and not fields:
             fields = attrs.asdict(self.next_ok)
         self.next_ok = None
         packet: bytes = super().ok(**fields)
         return packet
 
-    def close_after_answer(self) -> None:
-        """Close the connection once the present answer has been sent."""
+    def close_after_response(self) -> None:
+        """Close the connection after a delay in which the current response is sent."""
         asyncio.get_running_loop().call_later(CLOSE_DELAY_S, self.stream.writer.close)
 
     async def command_phase(self) -> None:
-        """Serve commands until the client leaves or breaks the protocol."""
+        """Serve commands until the client disconnects or violates the protocol."""
         try:
             await super().command_phase()
         except PacketTooLarge as error:
@@ -223,7 +225,7 @@
         await self.stream.write(self.ok())
 
     async def handle_stmt_reset(self, data: bytes) -> None:
-        """Reset one prepared statement; `mysql-mimic` would reset the session too."""
+        """Reset a prepared statement; `mysql-mimic` would also reset the session."""
         statement = self.get_stmt(parse_com_stmt_reset(data).stmt_id)
         statement.param_buffers = None
         statement.cursor = None
@@ -232,7 +234,7 @@
 
 @attrs.define
 class ConnectionControl(Control):
-    """Knows the open client connections, up to a limit."""
+    """Registry of the open client connections, with a limit on their number."""
 
     limit: int
     connections: dict[int, ClientConnection] = attrs.field(factory=dict)
@@ -247,7 +249,7 @@
         return self.last_number
 
     async def remove(self, connection_id: int) -> None:
-        """Forget a connection."""
+        """Remove a connection from the registry."""
         self.connections.pop(connection_id, None)
 
 
@@ -285,7 +287,8 @@
             identity_provider=self.identity_provider,
             ssl=self.ssl,
         )
-        # Drivers compare the mode they want with the flags of the first packet.
+        # Drivers compare the autocommit mode they need with the flags of the first
+        # packet.
         connection.status_flags = ServerStatus.SERVER_STATUS_AUTOCOMMIT
         with contextlib.suppress(ConnectionError, ConnectionClosed):
             await self._serve(connection, stream, writer)
--- a/src/radishtrack/frontend/identity.py
+++ b/src/radishtrack/frontend/identity.py
@@ -1,4 +1,4 @@
-"""Checks clients' keys during the MySQL handshake."""
+"""Authenticates clients by their keys during the MySQL handshake."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 NONCE_BYTES = 20
 
 CheckKey = Callable[[str, bytes, bytes], str | None]
-"""Takes organisation, nonce and scramble; returns the key's identifier or None."""
+"""Takes organisation, nonce and scramble; returns the key's ID, or None if invalid."""
 
 
 class KeyPlugin(AuthPlugin):
-    """The ``mysql_native_password`` method over the keyring.
+    """The ``mysql_native_password`` method with keys as passwords.
 
-    A login that succeeds is named ``organisation/key id``, so that the session can
-    check on each statement that the key is still active.
+    A successful login gets the user name ``organisation/key ID``, so that the session
+    can check before each statement that the key is still active.
     """
 
     name = "mysql_native_password"
@@ -35,7 +35,7 @@
         self.check_key = check_key
 
     async def auth(self, auth_info: AuthInfo | None = None) -> AuthState:
-        """Run one login; see `mysql_mimic.auth.AuthPlugin`."""
+        """Authenticate one login; see `mysql_mimic.auth.AuthPlugin`."""
         if auth_info and auth_info.handshake_auth_data:
             nonce = auth_info.handshake_auth_data.rstrip(b"\x00")
         else:
@@ -50,19 +50,19 @@
 
 
 class KeyIdentityProvider(IdentityProvider):
-    """Offers the key method for every organisation name.
+    """Offers authentication by key for every organisation name.
 
-    Unknown organisations take the same path as wrong keys, so that names can't be
-    probed.
+    Unknown organisations fail in the same way as wrong keys, so that a client cannot
+    find out which names exist.
     """
 
     def __init__(self, check_key: CheckKey) -> None:
         self.plugin = KeyPlugin(check_key)
 
     def get_plugins(self) -> Sequence[AuthPlugin]:
-        """Return the only method."""
+        """Return the only authentication method."""
         return [self.plugin]
 
     async def get_user(self, username: str) -> User:
-        """Return a user that the key method will check."""
+        """Return a user that is authenticated by key."""
         return User(name=username, auth_plugin=self.plugin.name)
--- a/src/radishtrack/frontend/session.py
+++ b/src/radishtrack/frontend/session.py
@@ -1,4 +1,4 @@
-"""The session of one client: statements that the proxy answers, and all others."""
+"""Client sessions: execute statements locally or forward them to the entry."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
         self.state.database = name or ""
 
     async def init(self, connection: ClientConnection) -> None:
-        """Start the session of a client that has shown a valid key.
+        """Start the session of a client that has logged in with a valid key.
 
         Raises
         ------
@@ -68,21 +68,21 @@
         if self.username is None:
             raise PermissionError("login failed")
         self.connection = connection
-        self._adopt_login()
+        self._apply_login()
         token = connection.client_connect_attrs.get(SESSION_ATTRIBUTE)
         if token:
             self.entry.apply_token(self.state, token)
         self._update_status()
 
     async def close(self) -> None:
-        """Roll back what the client left open."""
+        """Roll back the client's open transaction."""
         await self.entry.end_session(self.state)
 
     async def reset(self) -> None:
-        """Return to the state after a login; positions are kept."""
+        """Restore the state after login, except for the session's positions."""
         await self.entry.end_session(self.state)
         if self.username is not None:
-            self._adopt_login()
+            self._apply_login()
         self.state.autocommit = True
         self.state.last_insert_id = 0
         self.variables = self._make_variables()
@@ -93,7 +93,7 @@
         self.state.database = database
 
     async def handle_query(self, sql: str, attributes: dict[str, str]) -> Any:
-        """Answer one statement; nothing is evaluated or parsed by `mysql-mimic`."""
+        """Execute one statement without the parser and evaluator of `mysql-mimic`."""
         if self.username is None or self.connection is None:
             raise MysqlError("login failed", ErrorCode.ACCESS_DENIED)
         try:
@@ -102,7 +102,7 @@
             if prepared.statement.kind is Kind.SHOW_SESSION:
                 return self._show_session()
             if prepared.statement.kind is Kind.LOCAL:
-                return await self._answer_locally(prepared)
+                return await self._execute_locally(prepared)
             reply = await self.entry.execute(self.state, prepared)
             return await self._make_result(reply)
         except RequestError as error:
@@ -116,7 +116,7 @@
         variables.set("version_comment", "radishtrack", force=True)
         return variables
 
-    def _adopt_login(self) -> None:
+    def _apply_login(self) -> None:
         organisation, _, key_id = (self.username or "").partition("/")
         if organisation != self.state.organisation:
             self.state.positions.clear()
@@ -145,8 +145,8 @@
                 return ResultSet((), columns)
             second = await anext(reply.rows, None)
             if second is None:
-                # A result of one chunk is written at once, without the generators
-                # that let a long one stream.
+                # A result of one chunk is written directly, without the generators that
+                # stream longer results.
                 return ResultSet(first.rows, columns)
             rows = _iterate_rows((first, second), reply.rows, self._update_status)
             return ResultSet(rows, columns)
@@ -162,7 +162,7 @@
         )
         return _make_text_result(("token",), ((token,),))
 
-    async def _answer_locally(self, prepared: PreparedRequest) -> ResultSet | None:
+    async def _execute_locally(self, prepared: PreparedRequest) -> ResultSet | None:
         match prepared.statement.local:
             case Local.SELECT_VARIABLES:
                 return self._select_variables(prepared.text)
@@ -179,9 +179,9 @@
             case Local.SHOW_WARNINGS:
                 return _make_text_result(("Level", "Code", "Message"), ())
             case Local.USE:
-                found = _USE.fullmatch(prepared.text)
-                if found is not None:
-                    self.state.database = found["name"]
+                use = _USE.fullmatch(prepared.text)
+                if use is not None:
+                    self.state.database = use["name"]
         return None
 
     async def _set_autocommit(self, enabled: bool) -> None:
@@ -191,9 +191,9 @@
         self.state.autocommit = enabled
 
     def _select_variables(self, sql: str) -> ResultSet:
-        found = tuple(_VARIABLE.finditer(sql))
-        names = tuple(match["alias"] or match[0] for match in found)
-        values = tuple(self._get_variable(match["name"]) for match in found)
+        matches = tuple(_VARIABLE.finditer(sql))
+        names = tuple(match["alias"] or match[0] for match in matches)
+        values = tuple(self._get_variable(match["name"]) for match in matches)
         return _make_text_result(names, (values,))
 
     def _get_variable(self, name: str) -> str | None:
@@ -220,10 +220,12 @@
 
 
 async def _iterate_rows(
-    read: tuple[Rows, ...], chunks: AsyncIterator[Rows], when_done: Callable[[], None]
+    first_chunks: tuple[Rows, ...],
+    chunks: AsyncIterator[Rows],
+    on_end: Callable[[], None],
 ) -> AsyncIterator[tuple[str | bytes | None, ...]]:
     try:
-        for chunk in read:
+        for chunk in first_chunks:
             for row in chunk.rows:
                 yield row
         async for chunk in chunks:
@@ -232,7 +234,7 @@
     except RequestError as error:
         raise _make_error(error) from error
     finally:
-        when_done()
+        on_end()
 
 
 def _make_text_result(
--- a/tests/test_frontend_stream.py
+++ b/tests/test_frontend_stream.py
@@ -1,4 +1,4 @@
-"""Guards the clients' side against packets that are cut, split or too large."""
+"""Tests that the frontend handles truncated, split and oversized packets."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 LIMIT = 1000
 
 
-def make_reader(*parts: bytes, ends: bool = True) -> BoundedReader:
+def make_reader(*parts: bytes, is_ended: bool = True) -> BoundedReader:
     reader = asyncio.StreamReader()
     for part in parts:
         reader.feed_data(part)
-    if ends:
+    if is_ended:
         reader.feed_eof()
     return BoundedReader(reader, LIMIT)
 
 
 async def test_a_split_header_is_read_whole() -> None:
-    """The library alone would take the first segment for the whole header."""
-    reader = make_reader(ends=False)
+    """The library alone would treat the first TCP segment as the whole header."""
+    reader = make_reader(is_ended=False)
     reading = asyncio.ensure_future(reader.read(4))
     await asyncio.sleep(0)
     reader.reader.feed_data(b"\x01\x00")
@@ -39,11 +39,11 @@
     assert await reading == b"\x01\x00\x00\x00"
 
 
-async def test_the_end_between_packets_is_no_error() -> None:
+async def test_the_end_of_the_stream_between_packets_is_no_error() -> None:
     assert await make_reader().read(4) == b""
 
 
-async def test_a_packet_cut_short_is_an_error() -> None:
+async def test_a_truncated_packet_is_an_error() -> None:
     with pytest.raises(asyncio.IncompleteReadError):
         await make_reader(b"\x05\x00").read(4)
     with pytest.raises(asyncio.IncompleteReadError):
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"\x05", b"\x05\x00\x00\x01ab", b"\xff" * 64])
-async def test_broken_handshakes_leave_the_server_running(sent: bytes) -> None:
+async def test_malformed_handshakes_leave_the_server_running(sent: bytes) -> None:
     control = ConnectionControl(10)
     server = FrontendServer(
         session_factory=_make_session,
