--- a/src/radishtrack/cli/__init__.py
+++ b/src/radishtrack/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""Command line interface."""
--- a/src/radishtrack/cli/_arguments.py
+++ b/src/radishtrack/cli/_arguments.py
@@ -1,4 +1,4 @@
-"""Arguments and help that several commands share."""
+"""Arguments and help texts shared by commands."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
   0  done
   1  refused or failed; the reason is on standard error
   2  the command line is wrong
-  3  somebody else changed the same thing first; nothing was changed
+  3  a concurrent change was stored first; nothing was changed
   4  the platform does not answer
 """
 
@@ -25,20 +25,20 @@
 def add_command(
     commands: Any, name: str, handler: Handler, *, summary: str, text: str
 ) -> argparse.ArgumentParser:
-    """Add a command.
+    """Add a command to the parser.
 
     Parameters
     ----------
     commands : object
-        What `ArgumentParser.add_subparsers` returned.
+        The object that `ArgumentParser.add_subparsers` returned.
     name : str
-        The command.
+        Name of the command.
     handler : callable
-        Runs the command.
+        Coroutine function that runs the command.
     summary : str
         One line for the list of commands.
     text : str
-        Paragraphs and examples for the command's own help.
+        Paragraphs and examples for the help of the command.
     """
     description, _, examples = textwrap.dedent(text).strip().partition("examples:")
     parser: argparse.ArgumentParser = commands.add_parser(
@@ -53,23 +53,29 @@
 
 
 def add_platform_arguments(parser: argparse.ArgumentParser) -> None:
-    """Add the two ways to name the platform."""
+    """Add the arguments that select the platform: its URL or a settings file."""
     group = parser.add_mutually_exclusive_group(required=True)
     group.add_argument("--platform", metavar="URL", help="base URL of the platform")
     group.add_argument(
-        "--settings", metavar="FILE", help="take the URL from a node's settings"
+        "--settings", metavar="FILE", help="read the URL from a node's settings"
     )
 
 
 def add_json_argument(parser: argparse.ArgumentParser) -> None:
-    """Add the choice of output for scripts."""
+    """Add the option for JSON output."""
     parser.add_argument(
         "--json", action="store_true", help="write one JSON value for scripts"
     )
 
 
 def find_platform_url(arguments: argparse.Namespace) -> str:
-    """Return the platform's URL from either argument."""
+    """Return the platform's URL from the arguments or the settings file.
+
+    Raises
+    ------
+    CommandError
+        If the settings file is invalid.
+    """
     if arguments.platform:
         return str(arguments.platform)
     result = load_settings(arguments.settings)
--- a/src/radishtrack/cli/_config.py
+++ b/src/radishtrack/cli/_config.py
@@ -1,4 +1,4 @@
-"""Commands on the operators' configuration."""
+"""Commands for the operators' configuration."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def add_config_commands(commands: Any) -> None:
-    """Add ``config`` with its commands."""
+    """Add ``config`` and its subcommands."""
     parser = commands.add_parser("config", help="check, show, compare and apply")
     actions = parser.add_subparsers(title="commands", required=True, metavar="COMMAND")
     _add_check(actions)
@@ -51,9 +51,9 @@
         actions,
         "check",
         run_check,
-        summary="validate files without asking the platform",
+        summary="validate files without the platform",
         text="""
-        Validates files that together are one configuration. Every error is
+        Validates files that together form one configuration. Every error is
         reported with file, line and reason.
 
         examples:
@@ -72,7 +72,7 @@
         summary="write the configuration in force",
         text="""
         Writes the stored configuration as text that can be edited and applied. The
-        first line names its revision, against which `apply` checks.
+        first line names its revision, which `apply` compares with the stored one.
 
         examples:
           radishtrack config show --platform http://127.0.0.1:8500 > fleet.toml
@@ -110,9 +110,9 @@
         text="""
         Stores files as the next revision, which every node puts into force within
         seconds. It is stored only if the present revision is still the one that the
-        files are based on; otherwise nothing changes and the command tells who
+        files are based on; otherwise nothing changes and the command reports who
         changed what. If the platform stops answering, run the same command with the
-        printed --apply-id: it never applies twice.
+        printed --apply-id: the files are applied at most once.
 
         examples:
           radishtrack config apply fleet.toml --settings node.toml
@@ -128,8 +128,12 @@
         help="revision that the files are based on; 0 for the first one (default: "
         f"from the line '{REVISION_HEADER} N' that `show` writes)",
     )
-    parser.add_argument("--author", help="who applies (default: the login name)")
-    parser.add_argument("--apply-id", help="identifier of an attempt to resolve")
+    parser.add_argument(
+        "--author", help="author of the change (default: the login name)"
+    )
+    parser.add_argument(
+        "--apply-id", help="identifier printed by an attempt whose outcome is unknown"
+    )
     add_json_argument(parser)
 
 
@@ -192,15 +196,15 @@
     """Store files as the next revision."""
     sources = _read_sources(arguments.files)
     document = _require_document(sources)
-    seen = arguments.revision
-    if seen is None:
-        seen = _find_revision(sources)
+    base_revision = arguments.revision
+    if base_revision is None:
+        base_revision = _read_base_revision(sources)
     apply_id = arguments.apply_id or uuid.uuid4().hex
     async with context.open_platform(find_platform_url(arguments)) as platform:
         result = await apply_document(
             platform.store,
             document,
-            seen=seen,
+            seen=base_revision,
             author=arguments.author or getpass.getuser(),
             apply_id=apply_id,
         )
@@ -211,10 +215,10 @@
             context.write("\n".join((f"revision {result.revision}", *result.changes)))
         return ExitCode.OK
     if isinstance(result, Unchanged):
-        context.note(f"revision {result.revision} already has this content")
+        context.write_message(f"revision {result.revision} already has this content")
         return ExitCode.OK
     if isinstance(result, LostRace):
-        raise CommandError(_describe_race(result), ExitCode.CONFLICT)
+        raise CommandError(_describe_conflict(result), ExitCode.CONFLICT)
     raise CommandError(_describe_unresolved(result), ExitCode.UNAVAILABLE)
 
 
@@ -232,35 +236,35 @@
     return result.ok
 
 
-def _find_revision(sources: list[Source]) -> int:
-    found = {
+def _read_base_revision(sources: list[Source]) -> int:
+    revisions = {
         int(match[1]) for source in sources for match in _REVISION.finditer(source.text)
     }
-    if len(found) == 1:
-        return found.pop()
-    what = "name different revisions" if found else "do not name a revision"
+    if len(revisions) == 1:
+        return revisions.pop()
+    reason = "name different revisions" if revisions else "do not name a revision"
     raise CommandError(
-        f"the files {what}: edit the output of `radishtrack config show`, or give "
+        f"the files {reason}: edit the output of `radishtrack config show`, or give "
         "--revision N (0 for the first one)",
         ExitCode.USAGE,
     )
 
 
-def _describe_race(result: LostRace) -> str:
+def _describe_conflict(result: LostRace) -> str:
     lines = [
         f"not applied: the files are based on revision {result.seen}, and the present "
         f"one is {result.present}"
     ]
-    for winner in result.winners:
-        lines += _describe_winner(winner)
+    for applied in result.winners:
+        lines += _describe_change(applied)
     if len(result.winners) < result.present - result.seen:
         lines.append("earlier changes are no longer listed")
     return "\n".join(lines)
 
 
-def _describe_winner(winner: AppliedChange) -> list[str]:
-    heading = f"revision {winner.revision} by {winner.author}:"
-    return [heading, *(f"  {change}" for change in winner.changes)]
+def _describe_change(applied: AppliedChange) -> list[str]:
+    heading = f"revision {applied.revision} by {applied.author}:"
+    return [heading, *(f"  {change}" for change in applied.changes)]
 
 
 def _describe_unresolved(result: Unresolved) -> str:
--- a/src/radishtrack/cli/_context.py
+++ b/src/radishtrack/cli/_context.py
@@ -1,4 +1,4 @@
-"""What commands need from outside, so that tests can pass their own."""
+"""Dependencies of commands, which tests can replace."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @attrs.define(frozen=True)
 class NamedObject:
-    """A platform object with its name."""
+    """A platform object and its name."""
 
     name: str
     version: int
@@ -43,7 +43,7 @@
 
 @attrs.define(frozen=True)
 class VmEntry:
-    """An entry of the platform's list of VMs."""
+    """A VM in the platform's list."""
 
     id: str
     zone: str
@@ -54,7 +54,7 @@
 
 @attrs.define(frozen=True)
 class PlatformAccess:
-    """The platform operations that commands use.
+    """Operations of the platform that commands use.
 
     Parameters
     ----------
@@ -79,20 +79,20 @@
 
 @attrs.define(frozen=True)
 class Context:
-    """Streams and platform of one run of the command line."""
+    """Output streams and platform access for one command."""
 
     open_platform: OpenPlatform
     out: TextIO = attrs.field(factory=lambda: sys.stdout)
     err: TextIO = attrs.field(factory=lambda: sys.stderr)
 
     def write(self, text: str) -> None:
-        """Write a line of output."""
+        """Write a line to standard output."""
         print(text, file=self.out)
 
     def write_json(self, value: object) -> None:
-        """Write output for scripts: one JSON value."""
+        """Write a JSON value to standard output."""
         print(json.dumps(value, indent=2), file=self.out)
 
-    def note(self, text: str) -> None:
-        """Write a line for people to standard error."""
+    def write_message(self, text: str) -> None:
+        """Write a message for the user to standard error."""
         print(text, file=self.err)
--- a/src/radishtrack/cli/_keys.py
+++ b/src/radishtrack/cli/_keys.py
@@ -1,4 +1,4 @@
-"""Commands on organisations' keys."""
+"""Commands for organisations' keys."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def add_keys_commands(commands: Any) -> None:
-    """Add ``keys`` with its commands."""
+    """Add ``keys`` and its subcommands."""
     parser = commands.add_parser("keys", help="issue, revoke and list keys")
     actions = parser.add_subparsers(title="commands", required=True, metavar="COMMAND")
     issue = add_command(
@@ -41,7 +41,7 @@
         Issues a key and writes its text to standard output, once: the platform only
         stores a digest. Clients use the organisation as user name and the key as
         password. An organisation may have several keys, so that a new one can be
-        handed out before the old one is revoked.
+        distributed before the old one is revoked.
 
         examples:
           radishtrack keys issue verksted --settings node.toml > verksted.key
@@ -53,8 +53,8 @@
         run_revoke,
         summary="revoke a key",
         text="""
-        Revokes a key. Within seconds it stops working everywhere, also on open
-        connections. Revoking it again does no harm.
+        Revokes a key. Within seconds all nodes reject it, also on open connections.
+        Revoking it again has no effect.
 
         examples:
           radishtrack keys revoke verksted k3ab7xzq --settings node.toml
@@ -66,7 +66,7 @@
         run_list,
         summary="list keys without their texts",
         text="""
-        Lists the keys of one or all organisations.
+        Lists the keys of one organisation, or of all.
 
         examples:
           radishtrack keys list --settings node.toml
@@ -88,14 +88,16 @@
     issued = issue_key(organisation, secrets.token_bytes)
     async with context.open_platform(find_platform_url(arguments)) as platform:
         await _check_organisation(platform.store, organisation)
-        await add_key(platform.store, issued, _now_text())
+        await add_key(platform.store, issued, _format_now())
     if arguments.json:
         context.write_json(
             {"organisation": organisation, "id": issued.key_id, "key": issued.text}
         )
     else:
         context.write(issued.text)
-        context.note(f"issued key {issued.key_id} of {organisation}; it is shown once")
+        context.write_message(
+            f"issued key {issued.key_id} of {organisation}; it is shown once"
+        )
     return ExitCode.OK
 
 
@@ -104,7 +106,7 @@
     organisation, key_id = arguments.organisation, arguments.key_id
     async with context.open_platform(find_platform_url(arguments)) as platform:
         try:
-            await revoke_key(platform.store, organisation, key_id, _now_text())
+            await revoke_key(platform.store, organisation, key_id, _format_now())
         except KeyNotFound as error:
             present = await fetch_keys(platform.store, organisation)
             hint = suggest_name(key_id, [entry.id for entry in present])
@@ -120,10 +122,10 @@
 async def run_list(arguments: argparse.Namespace, context: Context) -> ExitCode:
     """List keys."""
     async with context.open_platform(find_platform_url(arguments)) as platform:
-        found = await platform.list_objects(KIND)
+        objects = await platform.list_objects(KIND)
     keys: dict[str, Entries] = {
         item.name: read_entries(item.value)
-        for item in sorted(found, key=lambda item: item.name)
+        for item in sorted(objects, key=lambda item: item.name)
         if arguments.organisation in (None, item.name)
     }
     if arguments.json:
@@ -148,11 +150,11 @@
 
 
 async def _check_organisation(store: ObjectStore, organisation: str) -> None:
-    known = (await fetch_revision(store)).document.organisations
-    if organisation not in known:
-        hint = suggest_name(organisation, known)
+    configured = (await fetch_revision(store)).document.organisations
+    if organisation not in configured:
+        hint = suggest_name(organisation, configured)
         raise CommandError(f"no organisation {organisation!r} is configured{hint}")
 
 
-def _now_text() -> str:
+def _format_now() -> str:
     return datetime.now(UTC).isoformat(timespec="seconds")
--- a/src/radishtrack/cli/_logging.py
+++ b/src/radishtrack/cli/_logging.py
@@ -1,4 +1,4 @@
-"""Log lines on standard error."""
+"""Configuration of logging to standard error."""
 
 from __future__ import annotations
 
--- a/src/radishtrack/cli/_node.py
+++ b/src/radishtrack/cli/_node.py
@@ -1,4 +1,4 @@
-"""Commands on nodes: run one, show the fleet, stop one."""
+"""Commands for nodes: run a node, show the fleet, drain a node."""
 
 from __future__ import annotations
 
@@ -54,7 +54,8 @@
         run_status,
         summary="show nodes, primaries and the configuration's revision",
         text="""
-        Shows what the platform knows of the fleet. Its list of nodes lags by seconds.
+        Shows the state of the fleet that the platform stores. Its list of nodes may be
+        seconds old.
 
         examples:
           radishtrack status --platform http://127.0.0.1:8500
@@ -67,8 +68,8 @@
         run_drain,
         summary="mark a node as leaving",
         text="""
-        Marks a node as leaving in the platform. It gets no new work within seconds,
-        finishes what it has and stops. To bring it back, start it again.
+        Marks a node as leaving in the platform. Within seconds it receives no new work;
+        it completes its present work and stops. To bring it back, start it again.
 
         examples:
           radishtrack drain node-3 --settings node.toml
@@ -86,7 +87,7 @@
     if result.is_error():
         raise CommandError("\n".join(str(error) for error in result.error))
     configure_logging(as_json=result.ok.log.format == "json")
-    # The proxy needs modules that no other command does.
+    # Imported here, because the proxy needs modules that no other command needs.
     outcome = importlib.import_module(PROXY_MODULE).run(result.ok)
     if inspect.isawaitable(outcome):
         outcome = await outcome
@@ -137,8 +138,8 @@
 
 
 async def _fetch_manifest(platform: PlatformAccess) -> Manifest:
-    found = await platform.store.get(MANIFEST_KIND, MANIFEST_NAME)
-    return decode_manifest(found.value) if found else EMPTY_MANIFEST
+    stored = await platform.store.get(MANIFEST_KIND, MANIFEST_NAME)
+    return decode_manifest(stored.value) if stored else EMPTY_MANIFEST
 
 
 def _summarise_group(group: NamedObject) -> dict[str, Any]:
--- a/src/radishtrack/cli/_platform.py
+++ b/src/radishtrack/cli/_platform.py
@@ -1,4 +1,4 @@
-"""Connects commands to the platform's client."""
+"""Provides the platform operations of commands through the platform's client."""
 
 from __future__ import annotations
 
@@ -26,7 +26,13 @@
 
 @contextlib.asynccontextmanager
 async def open_platform(url: str) -> AsyncIterator[PlatformAccess]:
-    """Yield the operations of the platform at `url`."""
+    """Yield the operations of the platform at `url`.
+
+    Raises
+    ------
+    CommandError
+        If the platform refuses a request.
+    """
     client = make_platform_client(url, make_system_clock())
     try:
         yield make_platform_access(client)
@@ -37,21 +43,21 @@
 
 
 def make_object_store(client: PlatformClient) -> ObjectStore:
-    """Return the reads and conditional writes of a client."""
+    """Return an object store that reads and writes through a client."""
 
     async def get(kind: str, name: str) -> StoredObject | None:
         try:
-            found = await client.get(kind, name)
+            stored = await client.get(kind, name)
         except PlatformUnavailable as error:
             raise StoreUnavailable(str(error)) from error
-        return StoredObject(found.version, found.value) if found else None
+        return StoredObject(stored.version, stored.value) if stored else None
 
     async def put(kind: str, name: str, value: Any, version: int) -> WriteResult:
         try:
-            answer = await client.put(kind, name, value, version)
+            result = await client.put(kind, name, value, version)
         except PlatformUnavailable:
             return WriteResult.UNKNOWN
-        if isinstance(answer, Written):
+        if isinstance(result, Written):
             return WriteResult.WRITTEN
         return WriteResult.CONFLICT
 
@@ -59,23 +65,25 @@
 
 
 def make_platform_access(client: PlatformClient) -> PlatformAccess:
-    """Return the operations that commands use."""
+    """Return the operations that commands use, through a client."""
 
     async def list_objects(kind: str) -> tuple[NamedObject, ...]:
         try:
-            found = await client.list_objects(kind)
+            objects = await client.list_objects(kind)
         except PlatformUnavailable as error:
             raise StoreUnavailable(str(error)) from error
-        return tuple(NamedObject(item.name, item.version, item.value) for item in found)
+        return tuple(
+            NamedObject(item.name, item.version, item.value) for item in objects
+        )
 
     async def list_vms() -> tuple[VmEntry, ...]:
         try:
-            found = await client.vms()
+            records = await client.vms()
         except PlatformUnavailable as error:
             raise StoreUnavailable(str(error)) from error
         return tuple(
             VmEntry(vm.id, vm.zone, vm.region, vm.state.value, vm.peer_address)
-            for vm in found
+            for vm in records
         )
 
     async def announce_leaving(vm: VmEntry) -> None:
--- a/src/radishtrack/cli/_usage.py
+++ b/src/radishtrack/cli/_usage.py
@@ -1,4 +1,4 @@
-"""Command on usage: the bill that the owners split."""
+"""Command that splits a bill between owners by usage."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
         summary="split a bill between the owners by usage",
         text="""
         Adds up the usage that all nodes reported and splits a bill between the
-        owners. The JSON output holds the usage of every organisation and the weights,
-        so that each owner can compute the bill again.
+        owners. The JSON output contains the usage of every organisation and the
+        weights, so that each owner can verify the bill.
 
         examples:
           radishtrack usage --amount 250000 --settings node.toml
@@ -58,7 +58,7 @@
 
 async def run_usage(arguments: argparse.Namespace, context: Context) -> ExitCode:
     """Split a bill."""
-    # No other command needs the usage package.
+    # Imported here, because no other command needs the usage package.
     from radishtrack.usage.bill import bill_to_json, bill_to_text, make_bill
 
     if arguments.amount < 0:
@@ -87,9 +87,10 @@
     from radishtrack.usage.report import decode_report
 
     objects: tuple[NamedObject, ...] = await platform.list_objects(USAGE_KIND)
-    # Read after the reports: a report that is folded meanwhile is not counted twice.
-    found = await platform.store.get(USAGE_KIND, SUMMARY_NAME)
-    summary = decode_summary(found.value) if found else UsageSummary()
+    # Read after the reports, so that a report that is folded into the summary meanwhile
+    # is not counted twice.
+    stored = await platform.store.get(USAGE_KIND, SUMMARY_NAME)
+    summary = decode_summary(stored.value) if stored else UsageSummary()
     reports = [
         decode_report(item.value) for item in objects if item.name != SUMMARY_NAME
     ]
--- a/src/radishtrack/cli/main.py
+++ b/src/radishtrack/cli/main.py
@@ -23,8 +23,8 @@
 DESCRIPTION: Final = """\
 Database proxy with session consistency for owners who share one proxy layer.
 
-Operators keep the configuration in TOML files, check it, look at the difference and
-apply it. Organisations' clients present keys, which are issued and revoked here.
+Operators keep the configuration in TOML files, which they check, compare with the
+stored one and apply. Clients log in with keys, which are issued and revoked here.
 """
 
 EPILOG: Final = f"""\
@@ -57,26 +57,28 @@
 
 
 async def run_command(arguments: argparse.Namespace, context: Context) -> ExitCode:
-    """Run a parsed command and report its failure on standard error."""
+    """Run a parsed command; a failure is reported on standard error."""
     try:
         code: ExitCode = await arguments.handler(arguments, context)
         return code
     except CommandError as error:
-        context.note(f"radishtrack: {error}")
+        context.write_message(f"radishtrack: {error}")
         return error.code
     except StoreUnavailable as error:
-        context.note(f"radishtrack: {error}")
+        context.write_message(f"radishtrack: {error}")
         return ExitCode.UNAVAILABLE
     except ApplyMismatch as error:
-        context.note(f"radishtrack: not applied: {error}")
+        context.write_message(f"radishtrack: not applied: {error}")
         return ExitCode.FAILED
     except ChunkError as error:
-        context.note(f"radishtrack: the stored configuration is damaged: {error}")
+        context.write_message(
+            f"radishtrack: the stored configuration is damaged: {error}"
+        )
         return ExitCode.FAILED
 
 
 def run(argv: Sequence[str] | None = None) -> int:
-    """Run the command line; returns the exit code."""
+    """Run the command line and return the exit code."""
     from radishtrack.cli._platform import open_platform
 
     arguments = make_parser().parse_args(argv)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""Guards the operators' commands: results, exit codes and output for scripts."""
+"""Tests the commands: their results, exit codes and output for scripts."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 @attrs.define
-class Terminal:
+class CliRunner:
     """Runs commands against an in-memory platform."""
 
     platform: MemoryPlatform = attrs.field(factory=MemoryPlatform)
@@ -42,7 +42,7 @@
     err: str = ""
 
     async def run(self, *argv: str) -> ExitCode:
-        """Run a command; keeps its output."""
+        """Run a command and store its output."""
         out, err = io.StringIO(), io.StringIO()
         context = Context(self._open, out, err)
         code = await run_command(make_parser().parse_args(argv), context)
@@ -59,8 +59,8 @@
         async def list_objects(kind: str) -> tuple[NamedObject, ...]:
             return tuple(
                 NamedObject(name, item.version, item.value)
-                for (found, name), item in self.platform.objects.items()
-                if found == kind
+                for (item_kind, name), item in self.platform.objects.items()
+                if item_kind == kind
             )
 
         async def list_vms() -> tuple[VmEntry, ...]:
@@ -76,127 +76,127 @@
 
 
 @pytest.fixture
-def terminal() -> Terminal:
-    return Terminal()
+def runner() -> CliRunner:
+    return CliRunner()
 
 
-async def apply_examples(terminal: Terminal) -> None:
+async def apply_examples(runner: CliRunner) -> None:
     argv = ["config", "apply", FJELLSKO, KALMISTU, "--revision", "0", *PLATFORM]
-    assert await terminal.run(*argv, "--author", "kari") is ExitCode.OK, terminal.err
+    assert await runner.run(*argv, "--author", "kari") is ExitCode.OK, runner.err
 
 
-async def test_check_reports_every_fault(terminal: Terminal, tmp_path: Path) -> None:
-    assert await terminal.run("config", "check", FJELLSKO, KALMISTU) is ExitCode.OK
-    assert "16 organisations, 2 databases" in terminal.out
+async def test_check_reports_every_error(runner: CliRunner, tmp_path: Path) -> None:
+    assert await runner.run("config", "check", FJELLSKO, KALMISTU) is ExitCode.OK
+    assert "16 organisations, 2 databases" in runner.out
     path = tmp_path / "bad.toml"
     path.write_text('[[owner]]\nname = "A"\n[[ownr]]\n', encoding="utf-8")
-    assert await terminal.run("config", "check", str(path)) is ExitCode.FAILED
-    assert f"{path}:2: owner[0].name: expected a name" in terminal.err
-    assert f"{path}:3: ownr: expected only" in terminal.err
-    assert await terminal.run("config", "check", str(path), "--json") is ExitCode.FAILED
-    assert [error["line"] for error in json.loads(terminal.out)["errors"]] == [2, 3]
+    assert await runner.run("config", "check", str(path)) is ExitCode.FAILED
+    assert f"{path}:2: owner[0].name: expected a name" in runner.err
+    assert f"{path}:3: ownr: expected only" in runner.err
+    assert await runner.run("config", "check", str(path), "--json") is ExitCode.FAILED
+    assert [error["line"] for error in json.loads(runner.out)["errors"]] == [2, 3]
 
 
 async def test_a_shown_configuration_is_edited_and_applied(
-    terminal: Terminal, tmp_path: Path
+    runner: CliRunner, tmp_path: Path
 ) -> None:
-    await apply_examples(terminal)
-    await terminal.run("config", "show", *PLATFORM)
+    await apply_examples(runner)
+    await runner.run("config", "show", *PLATFORM)
     path = tmp_path / "fleet.toml"
-    path.write_text(terminal.out.replace("= 15", "= 18"), encoding="utf-8")
+    path.write_text(runner.out.replace("= 15", "= 18"), encoding="utf-8")
     change = "changed database strekk-db: connections 15 -> 18"
-    found = await terminal.run_json("config", "diff", str(path), *PLATFORM)
-    assert found == {"revision": 1, "changes": [change]}
-    found = await terminal.run_json("config", "apply", str(path), *PLATFORM)
-    assert found == {"result": "Applied", "revision": 2, "changes": [change]}
-    code = await terminal.run("config", "apply", str(path), *PLATFORM)
+    result = await runner.run_json("config", "diff", str(path), *PLATFORM)
+    assert result == {"revision": 1, "changes": [change]}
+    result = await runner.run_json("config", "apply", str(path), *PLATFORM)
+    assert result == {"result": "Applied", "revision": 2, "changes": [change]}
+    code = await runner.run("config", "apply", str(path), *PLATFORM)
     assert code is ExitCode.CONFLICT
-    assert "based on revision 1, and the present one is 2" in terminal.err
-    assert f"  {change}" in terminal.err
+    assert "based on revision 1, and the present one is 2" in runner.err
+    assert f"  {change}" in runner.err
 
 
-async def test_apply_needs_the_revision_that_the_operator_saw(
-    terminal: Terminal,
+async def test_apply_needs_the_base_revision(
+    runner: CliRunner,
 ) -> None:
-    code = await terminal.run("config", "apply", FJELLSKO, *PLATFORM)
+    code = await runner.run("config", "apply", FJELLSKO, *PLATFORM)
     assert code is ExitCode.USAGE
-    assert "do not name a revision" in terminal.err
+    assert "do not name a revision" in runner.err
 
 
-async def test_an_unresolved_apply_says_how_to_resolve_it(terminal: Terminal) -> None:
-    terminal.platform.faults = ["lost answer", *["lost request"] * 4]
+async def test_an_apply_with_unknown_outcome_can_be_resolved(runner: CliRunner) -> None:
+    runner.platform.faults = ["lost answer", *["lost request"] * 4]
     argv = ["config", "apply", FJELLSKO, "--revision", "0", *PLATFORM]
-    assert await terminal.run(*argv) is ExitCode.UNAVAILABLE
-    apply_id = terminal.err.split("--apply-id ")[1].strip()
-    assert await terminal.run(*argv, "--apply-id", apply_id) is ExitCode.OK
-    assert terminal.out.startswith("revision 1\n")
+    assert await runner.run(*argv) is ExitCode.UNAVAILABLE
+    apply_id = runner.err.split("--apply-id ")[1].strip()
+    assert await runner.run(*argv, "--apply-id", apply_id) is ExitCode.OK
+    assert runner.out.startswith("revision 1\n")
 
 
-async def test_keys_are_issued_listed_and_revoked(terminal: Terminal) -> None:
-    await apply_examples(terminal)
-    assert await terminal.run("keys", "issue", "verksted", *PLATFORM) is ExitCode.OK
-    key = terminal.out.strip()
+async def test_keys_are_issued_listed_and_revoked(runner: CliRunner) -> None:
+    await apply_examples(runner)
+    assert await runner.run("keys", "issue", "verksted", *PLATFORM) is ExitCode.OK
+    key = runner.out.strip()
     key_id = key.split("_")[1]
-    assert key not in terminal.err
-    assert key not in str(terminal.platform.objects)
-    (listed,) = await terminal.run_json("keys", "list", *PLATFORM)
+    assert key not in runner.err
+    assert key not in str(runner.platform.objects)
+    (listed,) = await runner.run_json("keys", "list", *PLATFORM)
     assert (listed["id"], listed["revoked"]) == (key_id, "")
     argv = ["keys", "revoke", "verksted", key_id, *PLATFORM]
-    assert await terminal.run(*argv) is ExitCode.OK
-    await terminal.run("keys", "list", "verksted", *PLATFORM)
-    assert f"verksted {key_id} created" in terminal.out
-    assert "revoked 2" in terminal.out
-    assert await terminal.run_json("keys", "list", "rahumae", *PLATFORM) == []
+    assert await runner.run(*argv) is ExitCode.OK
+    await runner.run("keys", "list", "verksted", *PLATFORM)
+    assert f"verksted {key_id} created" in runner.out
+    assert "revoked 2" in runner.out
+    assert await runner.run_json("keys", "list", "rahumae", *PLATFORM) == []
 
 
-async def test_keys_of_unknown_organisations_are_refused(terminal: Terminal) -> None:
-    await apply_examples(terminal)
-    code = await terminal.run("keys", "issue", "verkstad", *PLATFORM)
+async def test_keys_of_unknown_organisations_are_refused(runner: CliRunner) -> None:
+    await apply_examples(runner)
+    code = await runner.run("keys", "issue", "verkstad", *PLATFORM)
     assert code is ExitCode.FAILED
-    assert "did you mean 'verksted'?" in terminal.err
-    code = await terminal.run("keys", "revoke", "verksted", "none", *PLATFORM)
+    assert "did you mean 'verksted'?" in runner.err
+    code = await runner.run("keys", "revoke", "verksted", "none", *PLATFORM)
     assert code is ExitCode.FAILED
-    assert "has no key 'none'" in terminal.err
+    assert "has no key 'none'" in runner.err
 
 
-async def test_status_and_drain(terminal: Terminal) -> None:
-    await apply_examples(terminal)
-    terminal.vms = [VmEntry("node-1", "oslo-a", "norge-ost", "live", "h:1")]
+async def test_status_and_drain(runner: CliRunner) -> None:
+    await apply_examples(runner)
+    runner.vms = [VmEntry("node-1", "oslo-a", "norge-ost", "live", "h:1")]
     value = {"term": 3, "primary": "strekk-2"}
-    terminal.platform.write("groups", "strekk-db", value, 0)
-    assert await terminal.run("drain", "node-2", *PLATFORM) is ExitCode.FAILED
-    assert "did you mean 'node-1'?" in terminal.err
-    assert await terminal.run("drain", "node-1", *PLATFORM) is ExitCode.OK
-    assert await terminal.run("status", *PLATFORM) is ExitCode.OK
-    assert terminal.out.splitlines() == [
+    runner.platform.write("groups", "strekk-db", value, 0)
+    assert await runner.run("drain", "node-2", *PLATFORM) is ExitCode.FAILED
+    assert "did you mean 'node-1'?" in runner.err
+    assert await runner.run("drain", "node-1", *PLATFORM) is ExitCode.OK
+    assert await runner.run("status", *PLATFORM) is ExitCode.OK
+    assert runner.out.splitlines() == [
         "configuration revision 1 kari",
         "node node-1 norge-ost oslo-a leaving",
         "database strekk-db term 3 primary strekk-2",
     ]
-    found = await terminal.run_json("status", *PLATFORM)
-    assert found["databases"] == [{"database": "strekk-db", **value}]
+    result = await runner.run_json("status", *PLATFORM)
+    assert result["databases"] == [{"database": "strekk-db", **value}]
 
 
-async def test_a_platform_that_is_down_has_its_own_exit_code(
-    terminal: Terminal,
+async def test_an_unavailable_platform_has_its_own_exit_code(
+    runner: CliRunner,
 ) -> None:
-    terminal.platform.is_down = True
+    runner.platform.is_down = True
     for argv in (["status"], ["config", "show"], ["keys", "issue", "a"]):
-        assert await terminal.run(*argv, *PLATFORM) is ExitCode.UNAVAILABLE
-        assert "the platform is down" in terminal.err
+        assert await runner.run(*argv, *PLATFORM) is ExitCode.UNAVAILABLE
+        assert "the platform is down" in runner.err
 
 
-async def test_the_platform_can_be_named_by_a_settings_file(
-    terminal: Terminal, tmp_path: Path
+async def test_the_platform_url_can_come_from_a_settings_file(
+    runner: CliRunner, tmp_path: Path
 ) -> None:
     settings = str(EXAMPLES / "node.toml")
-    assert await terminal.run("status", "--settings", settings) is ExitCode.OK
+    assert await runner.run("status", "--settings", settings) is ExitCode.OK
     path = tmp_path / "node.toml"
     path.write_text("[node]\n", encoding="utf-8")
-    code = await terminal.run("status", "--settings", str(path))
+    code = await runner.run("status", "--settings", str(path))
     assert code is ExitCode.FAILED
-    assert "node.id: expected text" in terminal.err
-    assert await terminal.run("proxy", "--settings", str(path)) is ExitCode.FAILED
+    assert "node.id: expected text" in runner.err
+    assert await runner.run("proxy", "--settings", str(path)) is ExitCode.FAILED
 
 
 def list_commands(
@@ -214,7 +214,7 @@
 
 
 @pytest.mark.parametrize("command", list(list_commands(make_parser())), ids=" ".join)
-def test_every_command_explains_itself_with_examples_and_exit_codes(
+def test_the_help_of_every_command_has_examples_and_exit_codes(
     command: tuple[str, ...], capsys: pytest.CaptureFixture[str]
 ) -> None:
     with pytest.raises(SystemExit) as stopped:
@@ -228,14 +228,14 @@
 @pytest.mark.parametrize(
     "argv", [[], ["keys"], ["status"], ["status", "--platform", "x", "--settings", "y"]]
 )
-def test_a_wrong_command_line_exits_with_2(argv: list[str]) -> None:
+def test_an_invalid_command_line_exits_with_2(argv: list[str]) -> None:
     with pytest.raises(SystemExit) as stopped:
         make_parser().parse_args(argv)
     assert stopped.value.code == ExitCode.USAGE
 
 
-def test_unhandled_errors_of_tasks_stay_in_the_log() -> None:
-    """Asyncio reports them; only the pooler's JSON output leaves its lines out."""
+def test_unhandled_errors_of_tasks_are_logged() -> None:
+    """Asyncio logs them; only the pooler's JSON output drops its lines."""
     logger = logging.getLogger("asyncio")
     level = logger.level
     logger.setLevel(logging.NOTSET)
--- a/tests/test_cli_platform.py
+++ b/tests/test_cli_platform.py
@@ -1,4 +1,4 @@
-"""Guards that commands work with the platform's client, faults included."""
+"""Tests commands with the platform's client, also while the platform is down."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from radishtrack.usage.counter import UsageKey, make_usage_counter
 from radishtrack.usage.report import encode_report, make_reporter
 from radishtrack_standins.platform import start_platform
-from test_cli import FJELLSKO, PLATFORM, Terminal, apply_examples
+from test_cli import FJELLSKO, PLATFORM, CliRunner, apply_examples
 
 
 async def run_all(url: str, *commands: str) -> list[tuple[ExitCode, str]]:
@@ -26,7 +26,7 @@
     return results
 
 
-async def test_configuration_keys_and_status_through_http() -> None:
+async def test_commands_for_configuration_keys_and_status_over_http() -> None:
     platform = await start_platform()
     platform.vms.set(
         "n1",
@@ -61,21 +61,21 @@
     ]
 
 
-def store_usage(terminal: Terminal, node: str, owner: str, statements: int) -> None:
+def store_usage(runner: CliRunner, node: str, owner: str, statements: int) -> None:
     counter = make_usage_counter()
     counter.add(UsageKey("some-organisation", owner), statements=statements)
     report = attrs.evolve(make_reporter(node, "1", counter).make_report(0), sequence=1)
-    terminal.platform.write("usage", report.object_name, encode_report(report), 0)
+    runner.platform.write("usage", report.object_name, encode_report(report), 0)
 
 
-async def test_usage_of_all_nodes_splits_the_bill_once() -> None:
-    terminal = Terminal()
-    await apply_examples(terminal)
-    store_usage(terminal, "n1", "fjellsko", 10)
-    store_usage(terminal, "n2", "fjellsko", 20)
-    store_usage(terminal, "n2b", "kalmistute-amet", 10)
+async def test_the_bill_counts_each_report_once() -> None:
+    runner = CliRunner()
+    await apply_examples(runner)
+    store_usage(runner, "n1", "fjellsko", 10)
+    store_usage(runner, "n2", "fjellsko", 20)
+    store_usage(runner, "n2b", "kalmistute-amet", 10)
     argv = ["usage", "--amount", "1000", *PLATFORM]
-    bill = await terminal.run_json(*argv)
+    bill = await runner.run_json(*argv)
     assert [share["amount"] for share in bill["shares"]] == [750, 250]
     counter = make_usage_counter()
     counter.add(UsageKey("some-organisation", "fjellsko"), statements=10)
@@ -83,9 +83,9 @@
         make_reporter("n1", "1", counter).make_report(0), is_sealed=True
     )
     summary = encode_summary(fold_sealed(UsageSummary(), [sealed]))
-    terminal.platform.write("usage", "summary", summary, 0)
-    assert await terminal.run(*argv) is ExitCode.OK
-    assert [line.split()[-1] for line in terminal.out.splitlines()[1:]] == [
+    runner.platform.write("usage", "summary", summary, 0)
+    assert await runner.run(*argv) is ExitCode.OK
+    assert [line.split()[-1] for line in runner.out.splitlines()[1:]] == [
         "750",
         "250",
         "1000",
@@ -93,8 +93,8 @@
 
 
 async def test_usage_of_an_owner_who_is_not_configured_is_an_error() -> None:
-    terminal = Terminal()
-    await apply_examples(terminal)
-    store_usage(terminal, "n1", "nobody", 10)
-    assert await terminal.run("usage", *PLATFORM) is ExitCode.FAILED
-    assert "unknown owners: ['nobody']" in terminal.err
+    runner = CliRunner()
+    await apply_examples(runner)
+    store_usage(runner, "n1", "nobody", 10)
+    assert await runner.run("usage", *PLATFORM) is ExitCode.FAILED
+    assert "unknown owners: ['nobody']" in runner.err
--- a/tests/test_events_catalogue.py
+++ b/tests/test_events_catalogue.py
@@ -1,4 +1,4 @@
-"""Guards that `docs/events.md` lists exactly the events of the code."""
+"""Tests that `docs/events.md` lists exactly the events of the code."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     )
 
 
-def test_numbers_are_unique_and_severities_known() -> None:
+def test_numbers_are_unique_and_severities_valid() -> None:
     assert len({event.number for event in Event}) == len(Event)
     assert {event.severity for event in Event} <= {"info", "warning", "error"}
 
@@ -35,7 +35,7 @@
         (False, "R5001 configuration revision in force n=7"),
     ],
 )
-def test_lines_go_to_standard_error_in_the_chosen_form(
+def test_lines_go_to_standard_error_in_the_chosen_format(
     as_json: bool, line: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     handler = logging.get_absl_handler()
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Guards the metrics, their bounded labels, and the endpoints that show them."""
+"""Tests the metrics, the bound on their labels, and the HTTP endpoints."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @attrs.define
 class Node:
-    """What the endpoints show."""
+    """A node's metrics and readiness, with the HTTP server that exposes them."""
 
     metrics: Metrics
     readiness: Readiness
@@ -80,7 +80,7 @@
     assert get_value(second, name, role="replica") is None
 
 
-async def test_the_endpoints_answer(node: Node) -> None:
+async def test_the_endpoints_return_metrics_health_and_readiness(node: Node) -> None:
     node.metrics.observe_queue_wait("verksted", 3.0)
     node.metrics.count_platform_call("ok")
     node.metrics.count_control_bytes("peer", 100)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Guards that a settings file is validated whole and that errors tell what to do."""
+"""Tests that a settings file is validated as a whole and that errors are specific."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
         ),
     ],
 )
-def test_a_bad_setting_is_named_with_expected_and_found(
+def test_an_invalid_setting_is_reported_with_expected_and_found(
     old: str, new: str, key: str, expected: str, found: str
 ) -> None:
     errors = parse_settings(VALID.replace(old, new), "n.toml").error
@@ -72,7 +72,7 @@
     assert keys == {"listen.client_port", "listen.peer_port", "logs"}
 
 
-def test_a_wrong_secret_is_not_repeated_in_the_error() -> None:
+def test_an_invalid_secret_is_not_shown_in_the_error() -> None:
     text = VALID.replace(f'"{SECRET}"', '["hunter2-hunter2-hunter2"]')
     text = text.replace('"replace-this-too"', "987654321")
     errors = parse_settings(text, "n.toml").error
@@ -84,7 +84,7 @@
     assert "987654321" not in str(errors)
 
 
-def test_the_secret_can_be_in_a_file_beside_the_settings(tmp_path: Path) -> None:
+def test_the_secret_can_be_in_a_file_next_to_the_settings(tmp_path: Path) -> None:
     (tmp_path / "peer.secret").write_text(SECRET + "\n", encoding="utf-8")
     path = tmp_path / "node.toml"
     text = VALID.replace(f'secret = "{SECRET}"', 'secret_file = "peer.secret"')
