--- a/src/radishtrack/bench/__init__.py
+++ b/src/radishtrack/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Open-loop load, the ledger of what callers were told, and reports."""
+"""Open-loop load generator with a ledger of client outcomes, and its reports."""
--- a/src/radishtrack/bench/client.py
+++ b/src/radishtrack/bench/client.py
@@ -1,4 +1,4 @@
-"""One session of the load: its connection, its token and its requests."""
+"""Client session of the load: its connection, session token and requests."""
 
 from __future__ import annotations
 
@@ -11,24 +11,30 @@
 import pymysql
 
 from radishtrack.bench.experiment import Experiment, Targets
-from radishtrack.bench.ledger import Ledger, MissedRow, Told, Write, classify_error
+from radishtrack.bench.ledger import (
+    ClientOutcome,
+    Ledger,
+    MissedRow,
+    Write,
+    classify_error,
+)
 from radishtrack.bench.schedule import Arrival, Operation
 
 RECONNECT_PAUSE_S: Final = 0.05
 SESSION_ATTRIBUTE: Final = "radishtrack_session"
 
 
-class ReachError(Exception):
-    """No connection; holds what the caller learned."""
+class ConnectError(Exception):
+    """A connection could not be opened; `client_outcome` says why."""
 
-    def __init__(self, told: Told) -> None:
-        super().__init__(told.value)
-        self.told = told
+    def __init__(self, client_outcome: ClientOutcome) -> None:
+        super().__init__(client_outcome.value)
+        self.client_outcome = client_outcome
 
 
 @attrs.define(frozen=True)
 class Login:
-    """Where and as whom to connect."""
+    """Address, credentials and connection attributes of a login."""
 
     address: str
     user: str
@@ -38,20 +44,20 @@
 
 
 @attrs.define(frozen=True)
-class Answer:
-    """The answer to one statement."""
+class StatementResult:
+    """Client outcome and rows of one statement."""
 
-    told: Told
+    client_outcome: ClientOutcome
     rows: tuple[tuple[Any, ...], ...] = ()
 
 
 async def open_connection(login: Login, timeout_s: float) -> Any:
-    """Connect with an ordinary driver.
+    """Connect with an ordinary MySQL driver.
 
     Raises
     ------
-    ReachError
-        If there is no connection; says whether the login was refused.
+    ConnectError
+        If no connection could be opened, or the server refused the login.
     """
     host, _, port = login.address.rpartition(":")
     connection = aiomysql.Connection(
@@ -69,28 +75,33 @@
         await asyncio.wait_for(connection._connect(), timeout_s)
     except (pymysql.err.MySQLError, OSError) as error:
         connection.close()
-        told = classify_error(_error_code(error))
-        is_login = told in (Told.DENIED, Told.DRAINING)
-        raise ReachError(told if is_login else Told.NOT_CONNECTED) from error
+        client_outcome = classify_error(_error_code(error))
+        is_login_refused = client_outcome in (
+            ClientOutcome.DENIED,
+            ClientOutcome.DRAINING,
+        )
+        raise ConnectError(
+            client_outcome if is_login_refused else ClientOutcome.NOT_CONNECTED
+        ) from error
     return connection
 
 
-async def run_statement(connection: Any, sql: str, timeout_s: float) -> Answer:
-    """Run one statement; never raises for what the other side does."""
+async def run_statement(connection: Any, sql: str, timeout_s: float) -> StatementResult:
+    """Run one statement; server and connection errors are returned, not raised."""
     try:
         cursor = await connection.cursor()
         await asyncio.wait_for(cursor.execute(sql), timeout_s)
         rows = tuple(await cursor.fetchall())
         await cursor.close()
-        return Answer(Told.OK, rows)
+        return StatementResult(ClientOutcome.OK, rows)
     except TimeoutError:
         connection.close()
-        return Answer(Told.TIMED_OUT)
+        return StatementResult(ClientOutcome.TIMED_OUT)
     except (pymysql.err.MySQLError, OSError, AssertionError) as error:
-        told = classify_error(_error_code(error))
-        if told is Told.CONNECTION_LOST:
+        client_outcome = classify_error(_error_code(error))
+        if client_outcome is ClientOutcome.CONNECTION_LOST:
             connection.close()
-        return Answer(told)
+        return StatementResult(client_outcome)
 
 
 def _error_code(error: BaseException) -> int:
@@ -104,7 +115,7 @@
 class Request:
     """A statement and the rows that its result must contain.
 
-    `expected` holds markers and whether the row is the session's own write.
+    `expected` has the marker of each row and whether the session itself wrote it.
     """
 
     sql: str
@@ -113,23 +124,23 @@
 
 @attrs.define
 class Session:
-    """A client session; survives planned moves between addresses."""
+    """A client session, which is kept when it moves to another address."""
 
     organisation: str
     index: int
     address_number: int
     connection: Any = None
     own_marker: str = ""
-    """Latest booking of this session that was acknowledged."""
+    """Marker of the last acknowledged booking of this session."""
     carried_token: str = ""
-    """Token that the next statement must carry in a comment."""
+    """Session token that the next statement must send in a comment."""
     moves: int = 0
     lost_connections: int = 0
 
 
 @attrs.define(frozen=True)
-class World:
-    """What all sessions share."""
+class RunContext:
+    """State that all sessions of a run share."""
 
     experiment: Experiment
     targets: Targets
@@ -139,30 +150,30 @@
 
 
 def make_login(
-    world: World, session: Session, attributes: dict[str, str] | None = None
+    context: RunContext, session: Session, attributes: dict[str, str] | None = None
 ) -> Login:
-    """Return the login for the session's present address."""
-    targets = world.targets
+    """Return the login for the session's current address."""
+    targets = context.targets
     number = session.address_number % len(targets.addresses)
     return Login(
         targets.addresses[number],
         targets.user or session.organisation,
         targets.keys.get(session.organisation, targets.default_key),
-        targets.database or world.experiment.database,
+        targets.database or context.experiment.database,
         attributes or {},
     )
 
 
-def make_marker(world: World, arrival: Arrival) -> str:
-    """Return the text that identifies one write."""
-    return f"{world.run}-{arrival.organisation}-{arrival.number}"
+def make_marker(context: RunContext, arrival: Arrival) -> str:
+    """Return the unique marker of one write."""
+    return f"{context.run}-{arrival.organisation}-{arrival.number}"
 
 
-def make_request(world: World, session: Session, arrival: Arrival) -> Request:
-    """Return the statement of one request, as of now."""
+def make_request(context: RunContext, session: Session, arrival: Arrival) -> Request:
+    """Return the statement of a request and the rows that it must return now."""
     operation, own = arrival.operation, session.own_marker
-    experiment = world.experiment
-    marker = make_marker(world, arrival)
+    experiment = context.experiment
+    marker = make_marker(context, arrival)
     if operation is Operation.BOOKING:
         return Request(
             f"INSERT INTO {experiment.booking_table} (organisation, marker, state) "
@@ -175,11 +186,11 @@
             f"VALUES ('{arrival.organisation}', '{marker}', {arrival.number})"
         )
     if operation is Operation.STATUS:
-        other = world.ledger.latest_before(world.now_ms())
+        other = context.ledger.find_latest_before(context.now_ms())
         return _make_read(experiment, "/*radishtrack class=strict*/ ", own, other)
     if operation is Operation.AGED:
         age_ms = experiment.mix.max_age_ms
-        other = world.ledger.latest_before(world.now_ms() - age_ms)
+        other = context.ledger.find_latest_before(context.now_ms() - age_ms)
         options = f"/*radishtrack class=aged max_age_ms={age_ms}*/ "
         return _make_read(experiment, options, own, other)
     return _make_read(experiment, "", own, None)
@@ -197,49 +208,74 @@
     return Request(sql, tuple(expected))
 
 
-async def perform(world: World, session: Session, arrival: Arrival) -> Told:
-    """Run one request to its end, with the retries that a careful caller makes."""
-    attempts_left = world.experiment.receipt_attempts
-    moves_left = len(world.targets.addresses)
+async def run_request(
+    context: RunContext, session: Session, arrival: Arrival
+) -> ClientOutcome:
+    """Run one request with retries, and record its outcome if it is a write.
+
+    A draining node is left for the next address. Only receipts are retried after an
+    unknown outcome, since their request ID makes that safe.
+    """
+    attempts_left = context.experiment.receipt_attempts
+    moves_left = len(context.targets.addresses)
     has_unknown_attempt = False
     while True:
-        told = await _attempt(world, session, arrival)
-        if told is Told.DRAINING and moves_left > 0:
+        client_outcome = await _run_attempt(context, session, arrival)
+        if client_outcome is ClientOutcome.DRAINING and moves_left > 0:
             moves_left -= 1
             continue
-        if told in (Told.UNKNOWN, Told.CONNECTION_LOST, Told.TIMED_OUT):
+        if client_outcome in (
+            ClientOutcome.UNKNOWN,
+            ClientOutcome.CONNECTION_LOST,
+            ClientOutcome.TIMED_OUT,
+        ):
             attempts_left -= 1
             if arrival.operation is Operation.RECEIPT and attempts_left > 0:
                 has_unknown_attempt = True
                 continue
         break
     if arrival.operation.is_write:
-        marker = make_marker(world, arrival)
+        marker = make_marker(context, arrival)
         write = Write(
-            marker, arrival.operation, arrival.organisation, told, has_unknown_attempt
+            marker,
+            arrival.operation,
+            arrival.organisation,
+            client_outcome,
+            has_unknown_attempt,
         )
-        world.ledger.add_write(write, world.now_ms())
-        if told is Told.OK and arrival.operation is Operation.BOOKING:
+        context.ledger.add_write(write, context.now_ms())
+        if (
+            client_outcome is ClientOutcome.OK
+            and arrival.operation is Operation.BOOKING
+        ):
             session.own_marker = marker
-    return told
+    return client_outcome
 
 
-async def _attempt(world: World, session: Session, arrival: Arrival) -> Told:
+async def _run_attempt(
+    context: RunContext, session: Session, arrival: Arrival
+) -> ClientOutcome:
     try:
-        connection = await _connected(world, session)
-    except ReachError as error:
-        return error.told
-    request = make_request(world, session, arrival)
-    sql, sent_ms = request.sql, world.now_ms()
+        connection = await _ensure_connection(context, session)
+    except ConnectError as error:
+        return error.client_outcome
+    request = make_request(context, session, arrival)
+    sql, sent_ms = request.sql, context.now_ms()
     if session.carried_token:
         sql = _add_token(sql, session.carried_token)
-    answer = await run_statement(connection, sql, world.experiment.statement_timeout_s)
-    if answer.told is Told.OK:
+    result = await run_statement(
+        connection, sql, context.experiment.statement_timeout_s
+    )
+    if result.client_outcome is ClientOutcome.OK:
         session.carried_token = ""
-        _check_rows(world, session, arrival, request, answer, sent_ms)
-    elif answer.told in (Told.CONNECTION_LOST, Told.TIMED_OUT, Told.DRAINING):
-        end_session(session)
-    return answer.told
+        _record_missed_rows(context, session, arrival, request, result, sent_ms)
+    elif result.client_outcome in (
+        ClientOutcome.CONNECTION_LOST,
+        ClientOutcome.TIMED_OUT,
+        ClientOutcome.DRAINING,
+    ):
+        reset_session(session)
+    return result.client_outcome
 
 
 def _add_token(sql: str, token: str) -> str:
@@ -249,43 +285,43 @@
     return f"{marker}session={token}*/ {sql}"
 
 
-def _check_rows(
-    world: World,
+def _record_missed_rows(
+    context: RunContext,
     session: Session,
     arrival: Arrival,
     request: Request,
-    answer: Answer,
+    result: StatementResult,
     sent_ms: float,
 ) -> None:
-    found = {row[0] for row in answer.rows}
-    world.ledger.rows_expected += len(request.expected)
-    world.ledger.missed.extend(
+    markers = {row[0] for row in result.rows}
+    context.ledger.rows_expected += len(request.expected)
+    context.ledger.missed.extend(
         MissedRow(arrival.operation, session.organisation, marker, is_own, sent_ms)
         for marker, is_own in request.expected
-        if marker not in found
+        if marker not in markers
     )
 
 
-async def _connected(world: World, session: Session) -> Any:
+async def _ensure_connection(context: RunContext, session: Session) -> Any:
     if session.connection is not None and not session.connection.closed:
         return session.connection
-    for _ in world.targets.addresses:
+    for _ in context.targets.addresses:
         try:
             session.connection = await open_connection(
-                make_login(world, session), world.experiment.statement_timeout_s
+                make_login(context, session), context.experiment.statement_timeout_s
             )
-        except ReachError as error:
+        except ConnectError as error:
             session.address_number += 1
-            if error.told is Told.DENIED:
+            if error.client_outcome is ClientOutcome.DENIED:
                 raise
             continue
         return session.connection
     await asyncio.sleep(RECONNECT_PAUSE_S)
-    raise ReachError(Told.NOT_CONNECTED)
+    raise ConnectError(ClientOutcome.NOT_CONNECTED)
 
 
-def end_session(session: Session) -> None:
-    """Forget a session whose connection ended before it could ask for a token."""
+def reset_session(session: Session) -> None:
+    """Reset a session whose connection ended before it could request its token."""
     if session.connection is not None:
         session.connection.close()
         session.connection = None
@@ -295,34 +331,38 @@
     session.carried_token = ""
 
 
-async def move_session(world: World, session: Session) -> None:
-    """Take the token and continue at the next address.
+async def move_session(context: RunContext, session: Session) -> None:
+    """Request the session token and continue at the next address.
 
-    A target without tokens is left without one; the session then still expects to
-    see its own writes.
+    If the target issues no token, the session moves without one and still expects to
+    read its own writes.
     """
     if session.connection is None or session.connection.closed:
         return
-    answer = await run_statement(
+    result = await run_statement(
         session.connection,
         "SHOW RADISHTRACK SESSION",
-        world.experiment.statement_timeout_s,
+        context.experiment.statement_timeout_s,
     )
-    if answer.told in (Told.CONNECTION_LOST, Told.TIMED_OUT, Told.DRAINING):
-        end_session(session)
+    if result.client_outcome in (
+        ClientOutcome.CONNECTION_LOST,
+        ClientOutcome.TIMED_OUT,
+        ClientOutcome.DRAINING,
+    ):
+        reset_session(session)
         return
-    token = str(answer.rows[0][-1]) if answer.rows else ""
+    token = str(result.rows[0][-1]) if result.rows else ""
     session.connection.close()
     session.connection = None
     session.address_number += 1
     session.moves += 1
-    by_attribute = world.experiment.roaming.carrier == "attribute"
+    by_attribute = context.experiment.roaming.carrier == "attribute"
     attributes = {SESSION_ATTRIBUTE: token} if token and by_attribute else {}
     session.carried_token = "" if by_attribute else token
     try:
         session.connection = await open_connection(
-            make_login(world, session, attributes),
-            world.experiment.statement_timeout_s,
+            make_login(context, session, attributes),
+            context.experiment.statement_timeout_s,
         )
-    except ReachError:
-        end_session(session)
+    except ConnectError:
+        reset_session(session)
--- a/src/radishtrack/bench/experiment.py
+++ b/src/radishtrack/bench/experiment.py
@@ -1,4 +1,4 @@
-"""Experiments and targets as TOML, validated as a whole."""
+"""Parse and validate experiments and targets, which are TOML files."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 SIGNALS: Final = ("SIGTERM", "SIGKILL", "SIGSTOP", "SIGCONT")
 CARRIERS: Final = ("attribute", "comment")
 PRIMARY: Final = "primary"
-"""Fault target that stands for the primary at that moment."""
+"""Fault target: the primary at the time of the fault."""
 PREVIOUS: Final = "previous"
-"""Fault target that stands for the member last found as the primary."""
+"""Fault target: the member that the last `PRIMARY` fault selected."""
 _TABLE_NAME: Final = re.compile(r"[a-z_][a-z0-9_]{0,40}", re.ASCII)
 
 _T = TypeVar("_T")
@@ -23,21 +23,21 @@
 
 @attrs.define(frozen=True)
 class Problem:
-    """One thing that is wrong in a TOML text.
+    """One error in a TOML text.
 
     Parameters
     ----------
-    place : str
-        Where it is, for example ``"organisations[2].limit_per_s"``.
+    path : str
+        Path of the value, for example ``"organisations[2].limit_per_s"``.
     reason : str
-        What is wrong.
+        Why it is rejected.
     """
 
-    place: str
+    path: str
     reason: str
 
     def __str__(self) -> str:
-        return f"{self.place}: {self.reason}"
+        return f"{self.path}: {self.reason}"
 
 
 def _positive() -> Any:
@@ -53,11 +53,11 @@
     name : str
         The organisation, which is also the MySQL user.
     offered_per_s : float
-        Statements that it sends in a second.
+        Statements that it sends per second.
     limit_per_s : float
-        Rate that it is entitled to; 0 for no limit.
+        Its rate limit; 0 for none.
     burst : float
-        Statements that it may send at once.
+        Capacity of its token bucket, in statements.
     sessions : int
         Number of its connections.
     """
@@ -71,7 +71,7 @@
 
 @attrs.define(frozen=True)
 class Mix:
-    """Relative frequency of each operation; `max_age_ms` is that of aged reads."""
+    """Relative frequency of each operation; `max_age_ms` applies to aged reads."""
 
     booking: float = 0.0
     status: float = 0.0
@@ -83,7 +83,7 @@
 
 @attrs.define(frozen=True)
 class Overload:
-    """One organisation sends a multiple of its load for a time."""
+    """A period in which one organisation sends a multiple of its load."""
 
     organisation: str
     factor: float = _positive()
@@ -93,9 +93,10 @@
 
 @attrs.define(frozen=True)
 class Roaming:
-    """Sessions move to another address after each period; 0 for never.
+    """Sessions move to another address every `every_s` seconds; 0 disables moves.
 
-    `carrier` is how the new connection gets the token.
+    `carrier` says how the new connection sends the session token: as a connection
+    attribute or in a statement comment.
     """
 
     every_s: float = 0.0
@@ -104,19 +105,19 @@
 
 @attrs.define(frozen=True)
 class Fault:
-    """Something that is done to a named process or control port.
+    """A fault injected into a process or through a control port.
 
     Parameters
     ----------
     at_s : float
         Time from the start of the load, in seconds.
     target : str
-        Name under which the targets list the process or the control port, or
-        `PRIMARY` or `PREVIOUS`.
+        Name of the process or control port in the targets, or `PRIMARY` or
+        `PREVIOUS`.
     body : dict
         JSON body of an HTTP POST to the control port.
     signal : str
-        Signal for the process; empty for an HTTP POST.
+        Signal to send to the process; empty for an HTTP POST.
     """
 
     at_s: float
@@ -127,7 +128,7 @@
 
 @attrs.define(frozen=True)
 class Experiment:
-    """One load with its faults."""
+    """A load and the faults injected during it."""
 
     name: str
     organisations: tuple[OrganisationLoad, ...]
@@ -147,7 +148,7 @@
 
 @attrs.define(frozen=True)
 class Targets:
-    """Where the load goes; given by whoever started the processes.
+    """Addresses, logins and processes of the deployment under test.
 
     Parameters
     ----------
@@ -164,22 +165,22 @@
     controls : dict
         URL of each control port by name.
     pids : dict
-        Process number of each process by name.
+        Process ID of each process by name.
     measured_pids : tuple of int
         Processes whose CPU time is reported.
     idle_s : float
-        Time before the load in which their idle CPU time is measured, in seconds.
+        Seconds before the load in which their idle CPU time is measured.
     dump : tuple of str
-        Addresses of the database members, best their administrative ones; the rows
-        of the primary among them count.
+        Addresses of the database members, preferably the administrative ones. The
+        rows are read from the primary among them.
     dump_names : tuple of str
         Name of each of these members in `controls` and `pids`.
     dump_user, dump_password, dump_database : str
         Login for the dump.
     metrics : tuple of str
-        URLs of the proxies' metrics.
+        Metrics URLs of the proxies.
     reads_metric, reads_label : str
-        Counter of reads, and its label that is ``replica`` or ``primary``.
+        Counter of reads, and its label with the value ``replica`` or ``primary``.
     """
 
     addresses: tuple[str, ...]
@@ -202,7 +203,7 @@
 
 
 def parse_experiment(text: str) -> Result[Experiment, tuple[Problem, ...]]:
-    """Read an experiment and check it as a whole.
+    """Parse and validate an experiment.
 
     Parameters
     ----------
@@ -212,13 +213,13 @@
     Returns
     -------
     Result
-        The experiment, or everything that is wrong with it.
+        The experiment, or all its errors.
     """
     return _parse(Experiment, text, _iterate_experiment_problems)
 
 
 def parse_targets(text: str) -> Result[Targets, tuple[Problem, ...]]:
-    """Read the targets and check them as a whole."""
+    """Parse and validate the targets."""
     return _parse(Targets, text, _iterate_target_problems)
 
 
@@ -234,93 +235,97 @@
     return Error(tuple(problems)) if problems else Ok(value)
 
 
-def _read(kind: Any, table: Any, place: str, problems: list[Problem]) -> Any:
+def _read(kind: Any, table: Any, path: str, problems: list[Problem]) -> Any:
     if not isinstance(table, dict):
-        problems.append(Problem(place, "must be a table"))
+        problems.append(Problem(path, "must be a table"))
         return None
     attrs.resolve_types(kind)
     fields = {field.name: field for field in attrs.fields(kind)}
-    prefix = f"{place}." if place else ""
+    prefix = f"{path}." if path else ""
     problems.extend(
-        Problem(prefix + name, "unknown name") for name in table if name not in fields
+        Problem(prefix + name, "unknown key") for name in table if name not in fields
     )
     values = {}
     for name, field in fields.items():
         if name in table:
-            found = _read_value(field.type, table[name], prefix + name, problems)
+            value = _read_value(field.type, table[name], prefix + name, problems)
             limit = field.metadata.get("above")
-            if limit is not None and found is not None and not found > limit:
+            if limit is not None and value is not None and not value > limit:
                 problems.append(Problem(prefix + name, f"must be above {limit}"))
-            values[name] = found
+            values[name] = value
         elif field.default is attrs.NOTHING:
             problems.append(Problem(prefix + name, "missing"))
     return None if problems else kind(**values)
 
 
-def _read_value(kind: Any, value: Any, place: str, problems: list[Problem]) -> Any:
+def _read_value(kind: Any, value: Any, path: str, problems: list[Problem]) -> Any:
     if attrs.has(kind):
-        return _read(kind, value, place, problems)
+        return _read(kind, value, path, problems)
     if getattr(kind, "__origin__", None) is tuple:
         if not isinstance(value, list):
-            problems.append(Problem(place, "must be a list"))
+            problems.append(Problem(path, "must be a list"))
             return None
         return tuple(
-            _read_value(kind.__args__[0], item, f"{place}[{index}]", problems)
+            _read_value(kind.__args__[0], item, f"{path}[{index}]", problems)
             for index, item in enumerate(value)
         )
     if kind is float and isinstance(value, int) and not isinstance(value, bool):
         value = float(value)
     expected = getattr(kind, "__origin__", kind)
     if not isinstance(value, expected) or isinstance(value, bool):
-        problems.append(Problem(place, f"must be a {expected.__name__}"))
+        problems.append(Problem(path, f"must be a {expected.__name__}"))
         return None
     return value
 
 
-def _iterate_experiment_problems(found: Experiment) -> Iterator[Problem]:
-    names = [organisation.name for organisation in found.organisations]
+def _iterate_experiment_problems(experiment: Experiment) -> Iterator[Problem]:
+    names = [organisation.name for organisation in experiment.organisations]
     if not names:
         yield Problem("organisations", "at least one is needed")
     if len(set(names)) < len(names):
-        yield Problem("organisations", "a name occurs twice")
-    for index, organisation in enumerate(found.organisations):
+        yield Problem("organisations", "duplicate name")
+    for index, organisation in enumerate(experiment.organisations):
         if organisation.limit_per_s < 0 or organisation.burst < 0:
             yield Problem(f"organisations[{index}]", "limits must not be negative")
-    mix = found.mix
+    mix = experiment.mix
     weights = (mix.booking, mix.status, mix.aged, mix.session_read, mix.receipt)
     if min(weights) < 0 or sum(weights) <= 0:
-        yield Problem("mix", "needs non-negative weights, one of them positive")
-    for name in (found.booking_table, found.receipt_table):
+        yield Problem("mix", "weights must be non-negative, and at least one positive")
+    for name in (experiment.booking_table, experiment.receipt_table):
         if not _TABLE_NAME.fullmatch(name):
-            yield Problem("tables", f"{name!r} is not a plain table name")
-    if found.booking_table == found.receipt_table:
-        yield Problem("tables", "bookings and receipts need different tables")
-    for index, overload in enumerate(found.overloads):
+            yield Problem("tables", f"{name!r} is not a valid table name")
+    if experiment.booking_table == experiment.receipt_table:
+        yield Problem("tables", "bookings and receipts must have different tables")
+    for index, overload in enumerate(experiment.overloads):
         if overload.organisation not in names:
             yield Problem(f"overloads[{index}].organisation", "unknown organisation")
-        if not 0 <= overload.start_s < overload.end_s <= found.duration_s:
+        if not 0 <= overload.start_s < overload.end_s <= experiment.duration_s:
             yield Problem(f"overloads[{index}]", "must lie within the duration")
-    if found.roaming.every_s < 0 or found.roaming.carrier not in CARRIERS:
-        yield Problem("roaming", f"needs every_s >= 0 and carrier of {CARRIERS}")
-    for index, fault in enumerate(found.faults):
-        if not 0 <= fault.at_s <= found.duration_s:
+    if experiment.roaming.every_s < 0 or experiment.roaming.carrier not in CARRIERS:
+        yield Problem(
+            "roaming", f"every_s must be at least 0 and carrier one of {CARRIERS}"
+        )
+    for index, fault in enumerate(experiment.faults):
+        if not 0 <= fault.at_s <= experiment.duration_s:
             yield Problem(f"faults[{index}].at_s", "must lie within the duration")
         if fault.signal and (fault.signal not in SIGNALS or fault.body):
-            yield Problem(f"faults[{index}]", f"needs a body or one of {SIGNALS}")
+            yield Problem(
+                f"faults[{index}]", f"must have either a body or one of {SIGNALS}"
+            )
 
 
-def _iterate_target_problems(found: Targets) -> Iterator[Problem]:
-    if not found.addresses:
+def _iterate_target_problems(targets: Targets) -> Iterator[Problem]:
+    if not targets.addresses:
         yield Problem("addresses", "at least one is needed")
-    for index, address in enumerate((*found.addresses, *found.dump)):
+    for index, address in enumerate((*targets.addresses, *targets.dump)):
         host, _, port = address.rpartition(":")
         if not host or not port.isdecimal() or not 0 < int(port) < 65536:
             yield Problem(f"address {index}", "must be host:port")
-    if found.dump_names and len(found.dump_names) != len(found.dump):
+    if targets.dump_names and len(targets.dump_names) != len(targets.dump):
         yield Problem("dump_names", "must name each member of dump")
-    if found.idle_s < 0:
+    if targets.idle_s < 0:
         yield Problem("idle_s", "must not be negative")
-    for name, pid in found.pids.items():
+    for name, pid in targets.pids.items():
         if pid <= 1:
             yield Problem(f"pids.{name}", "must be above 1")
 
@@ -328,10 +333,10 @@
 def iterate_missing_targets(
     experiment: Experiment, targets: Targets
 ) -> Iterator[Problem]:
-    """Name the faults whose process or control port the targets do not list."""
+    """Yield a problem for each fault whose target is not in the targets."""
     for index, fault in enumerate(experiment.faults):
-        known = targets.pids if fault.signal else targets.controls
+        available = targets.pids if fault.signal else targets.controls
         is_by_role = fault.target in (PRIMARY, PREVIOUS)
-        needed = targets.dump_names if is_by_role else (fault.target,)
-        if not needed or not set(needed) <= set(known):
+        required = targets.dump_names if is_by_role else (fault.target,)
+        if not required or not set(required) <= set(available):
             yield Problem(f"faults[{index}].target", f"no target {fault.target!r}")
--- a/src/radishtrack/bench/ledger.py
+++ b/src/radishtrack/bench/ledger.py
@@ -1,4 +1,4 @@
-"""What callers were told, judged against the rows of the database."""
+"""Ledger of client outcomes, and its comparison with the rows of the database."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from radishtrack.bench.schedule import Operation
 from radishtrack.errors import ErrorCode, Outcome
 
-KEPT_ACKNOWLEDGED: Final = 4096
+MAX_RECENT_BOOKINGS: Final = 4096
 
 
-class Told(enum.Enum):
-    """What the caller learned about one request."""
+class ClientOutcome(enum.Enum):
+    """Result of one request as the client sees it."""
 
     OK = "ok"
     REFUSED = "refused"
@@ -34,61 +34,65 @@
 
     @property
     def outcome(self) -> Outcome:
-        """What follows for the execution of a write."""
-        if self is Told.OK:
+        """Whether a write with this result ran."""
+        if self is ClientOutcome.OK:
             return Outcome.RAN
-        unknown = (Told.UNKNOWN, Told.CONNECTION_LOST, Told.TIMED_OUT)
+        unknown = (
+            ClientOutcome.UNKNOWN,
+            ClientOutcome.CONNECTION_LOST,
+            ClientOutcome.TIMED_OUT,
+        )
         return Outcome.UNKNOWN if self in unknown else Outcome.NOT_RUN
 
 
-_TOLD_BY_CODE: Final[dict[int, Told]] = {
-    ErrorCode.ACCESS_DENIED: Told.DENIED,
-    ErrorCode.REFUSED: Told.REFUSED,
-    ErrorCode.OUTCOME_UNKNOWN: Told.UNKNOWN,
-    ErrorCode.OVER_RATE: Told.OVER_RATE,
-    ErrorCode.INVALID_OPTION: Told.INVALID,
-    ErrorCode.NO_SERVICE: Told.NO_SERVICE,
-    ErrorCode.DRAINING: Told.DRAINING,
+_OUTCOME_BY_CODE: Final[dict[int, ClientOutcome]] = {
+    ErrorCode.ACCESS_DENIED: ClientOutcome.DENIED,
+    ErrorCode.REFUSED: ClientOutcome.REFUSED,
+    ErrorCode.OUTCOME_UNKNOWN: ClientOutcome.UNKNOWN,
+    ErrorCode.OVER_RATE: ClientOutcome.OVER_RATE,
+    ErrorCode.INVALID_OPTION: ClientOutcome.INVALID,
+    ErrorCode.NO_SERVICE: ClientOutcome.NO_SERVICE,
+    ErrorCode.DRAINING: ClientOutcome.DRAINING,
 }
 CLIENT_ERRORS: Final = range(2000, 3000)
-"""Numbers that the client library gives to failures of the connection."""
+"""Error numbers of the client library for connection failures."""
 
 
-def classify_error(code: int) -> Told:
-    """Return what a MySQL error number tells the caller about a sent request."""
+def classify_error(code: int) -> ClientOutcome:
+    """Return the client outcome of a request that failed with a MySQL error number."""
     if code in CLIENT_ERRORS or code == 0:
-        return Told.CONNECTION_LOST
-    return _TOLD_BY_CODE.get(code, Told.DATABASE_ERROR)
+        return ClientOutcome.CONNECTION_LOST
+    return _OUTCOME_BY_CODE.get(code, ClientOutcome.DATABASE_ERROR)
 
 
 @attrs.define(frozen=True)
 class Write:
-    """One write and what its caller was told.
+    """One write and its client outcome.
 
     Parameters
     ----------
     marker : str
-        Value that only the row of this write has.
+        Value that is unique to the row of this write.
     operation : Operation
         Booking or receipt.
     organisation : str
-        Whose write it is.
-    told : Told
-        The last answer, or what became of the connection.
+        Organisation that sent it.
+    client_outcome : ClientOutcome
+        Result of the last attempt.
     has_unknown_attempt : bool
-        Whether an earlier attempt ended without an answer.
+        Whether the outcome of an earlier attempt is unknown.
     """
 
     marker: str
     operation: Operation
     organisation: str
-    told: Told
+    client_outcome: ClientOutcome
     has_unknown_attempt: bool = False
 
     @property
     def outcome(self) -> Outcome:
-        """What the caller knows about the write after all its attempts."""
-        outcome = self.told.outcome
+        """Whether the write ran, as far as the client can tell after all attempts."""
+        outcome = self.client_outcome.outcome
         if outcome is Outcome.NOT_RUN and self.has_unknown_attempt:
             return Outcome.UNKNOWN
         return outcome
@@ -96,7 +100,7 @@
 
 @attrs.define(frozen=True)
 class MissedRow:
-    """A read that should have returned an acknowledged row and did not."""
+    """An acknowledged row that a read failed to return."""
 
     operation: Operation
     organisation: str
@@ -106,8 +110,8 @@
 
 
 @attrs.define(frozen=True)
-class Acknowledged:
-    """A booking whose caller was told that it ran."""
+class AcknowledgedBooking:
+    """A booking that was acknowledged to its client."""
 
     marker: str
     at_ms: float
@@ -115,52 +119,59 @@
 
 @attrs.define
 class Ledger:
-    """Everything that callers were told."""
+    """Client outcomes of all writes, and the rows that reads missed."""
 
     writes: list[Write] = attrs.field(factory=list)
     missed: list[MissedRow] = attrs.field(factory=list)
     rows_expected: int = 0
-    """Rows that reads were checked for."""
-    recent: deque[Acknowledged] = attrs.field(
-        factory=lambda: deque(maxlen=KEPT_ACKNOWLEDGED)
+    """Number of rows that reads had to return."""
+    recent_bookings: deque[AcknowledgedBooking] = attrs.field(
+        factory=lambda: deque(maxlen=MAX_RECENT_BOOKINGS)
     )
 
     def add_write(self, write: Write, now_ms: float) -> None:
         """Record a write after its last attempt."""
         self.writes.append(write)
-        if write.told is Told.OK and write.operation is Operation.BOOKING:
-            self.recent.append(Acknowledged(write.marker, now_ms))
-
-    def latest_before(self, at_ms: float) -> str | None:
-        """Return a booking acknowledged no later than `at_ms`, the latest known."""
-        found = (entry for entry in reversed(self.recent) if entry.at_ms <= at_ms)
-        entry = next(found, None)
-        return None if entry is None else entry.marker
+        if (
+            write.client_outcome is ClientOutcome.OK
+            and write.operation is Operation.BOOKING
+        ):
+            self.recent_bookings.append(AcknowledgedBooking(write.marker, now_ms))
+
+    def find_latest_before(self, at_ms: float) -> str | None:
+        """Return the marker of the last booking acknowledged by `at_ms`."""
+        bookings = (
+            booking
+            for booking in reversed(self.recent_bookings)
+            if booking.at_ms <= at_ms
+        )
+        booking = next(bookings, None)
+        return None if booking is None else booking.marker
 
 
 @attrs.define(frozen=True)
 class Judgement:
-    """What the ledger and the rows say together.
+    """Result of comparing the ledger with the rows of the database.
 
     Parameters
     ----------
     acknowledged, not_run, unknown : int
-        Writes by what their callers know.
+        Number of writes by outcome at the client.
     lost : tuple of str
-        Acknowledged and not in the database.
+        Markers of acknowledged writes that are not in the database.
     duplicated : tuple of str
-        In the database more than once.
+        Markers that are in the database more than once.
     ran_although_refused : tuple of str
-        Reported as not run, and in the database.
+        Markers of writes reported as not run that are in the database.
     unknown_present : int
-        Unknown writes that are in the database.
+        Writes of unknown outcome that are in the database.
     own_writes_missed : int
         Reads that did not return the session's own acknowledged write.
     stale_strict_reads, stale_aged_reads : int
         Reads without a row that was acknowledged before they were sent, or earlier
         than the accepted age.
     rows_expected : int
-        Rows that reads were checked for.
+        Number of rows that reads had to return.
     """
 
     acknowledged: int
@@ -177,7 +188,7 @@
 
     @property
     def is_clean(self) -> bool:
-        """Whether no guarantee was broken."""
+        """Whether no guarantee was violated."""
         return not (
             self.lost
             or self.duplicated
@@ -194,16 +205,16 @@
     Parameters
     ----------
     ledger : Ledger
-        What callers were told.
+        Client outcomes.
     rows : mapping of Operation to iterable of str
         Markers in the tables of bookings and receipts.
 
     Returns
     -------
     Judgement
-        Counts, and the markers of every broken promise.
+        Counts, and the markers of all violations.
     """
-    held = {operation: Counter(markers) for operation, markers in rows.items()}
+    marker_counts = {operation: Counter(markers) for operation, markers in rows.items()}
     outcomes = Counter(write.outcome for write in ledger.writes)
 
     def select(outcome: Outcome, is_present: bool) -> tuple[str, ...]:
@@ -211,7 +222,7 @@
             write.marker
             for write in ledger.writes
             if write.outcome is outcome
-            and (held[write.operation][write.marker] > 0) is is_present
+            and (marker_counts[write.operation][write.marker] > 0) is is_present
         )
 
     own = sum(missed.is_own_write for missed in ledger.missed)
@@ -226,7 +237,7 @@
         duplicated=tuple(
             write.marker
             for write in ledger.writes
-            if held[write.operation][write.marker] > 1
+            if marker_counts[write.operation][write.marker] > 1
         ),
         ran_although_refused=select(Outcome.NOT_RUN, True),
         unknown_present=len(select(Outcome.UNKNOWN, True)),
--- a/src/radishtrack/bench/main.py
+++ b/src/radishtrack/bench/main.py
@@ -31,14 +31,14 @@
     to_text,
 )
 
-EXIT_CLEAN = 0
-EXIT_BROKEN = 1
-EXIT_BAD_INPUT = 2
+EXIT_OK = 0
+EXIT_VIOLATION = 1
+EXIT_INVALID_INPUT = 2
 
 
 @attrs.define(frozen=True)
 class Job:
-    """A checked experiment and its targets."""
+    """A validated experiment and its targets."""
 
     experiment: Experiment
     targets: Targets
@@ -55,7 +55,7 @@
     parser.add_argument(
         "--create-tables",
         action="store_true",
-        help="create the tables on the primary among the members to dump",
+        help="create the tables on the primary among the dump members",
     )
     parser.add_argument(
         "--reads-table",
@@ -72,27 +72,27 @@
     Returns
     -------
     int
-        0; 1 if a guarantee was broken, or could not be judged although members to
-        dump were given; 2 for bad input.
+        0; 1 if a guarantee or a rate limit was violated, or if the rows of members
+        to dump could not be read; 2 for invalid input.
     """
     options = make_parser().parse_args(arguments)
-    job = read_job(options.experiment.read_text(), options.targets.read_text())
+    job = parse_job(options.experiment.read_text(), options.targets.read_text())
     if job.is_error():
         for problem in job.error:
             print(problem, file=sys.stderr)
-        return EXIT_BAD_INPUT
+        return EXIT_INVALID_INPUT
     series = uvloop.run(_run_all(job.ok, options))
     (options.out / f"{series.experiment}.json").write_text(to_json(series))
     text = to_text(series)
     (options.out / f"{series.experiment}.txt").write_text(text)
     print(text, end="")
-    return _judge_exit(series, job.ok.targets)
+    return _choose_exit_code(series, job.ok.targets)
 
 
-def read_job(
+def parse_job(
     experiment_text: str, targets_text: str
 ) -> Result[Job, tuple[Problem, ...]]:
-    """Check an experiment together with its targets."""
+    """Parse and validate an experiment together with its targets."""
     experiment = parse_experiment(experiment_text)
     targets = parse_targets(targets_text)
     if experiment.is_error() or targets.is_error():
@@ -109,11 +109,11 @@
     options.out.mkdir(parents=True, exist_ok=True)
     if options.create_tables:
         await run_on_primary(job.targets, make_tables_sql(job.experiment))
-    share = _read_share(options.reads_table)
+    share = _read_replica_share(options.reads_table)
     reports = []
     for number, experiment in enumerate(_iterate_repeats(job.experiment, options)):
         result = await run_experiment(experiment, job.targets)
-        _plot(result, options, number)
+        _plot_result(result, options, number)
         reports.append(make_report(result, share))
     return make_series(reports)
 
@@ -126,19 +126,19 @@
         yield attrs.evolve(experiment, seed=seed + number)
 
 
-def _plot(result: RunResult, options: argparse.Namespace, number: int) -> None:
+def _plot_result(result: RunResult, options: argparse.Namespace, number: int) -> None:
     if not options.no_plots:
         plot_run(result, options.out, f"{result.experiment.name}-{number}")
 
 
-def _read_share(path: Path | None) -> float | None:
+def _read_replica_share(path: Path | None) -> float | None:
     if path is None:
         return None
     counts = json.loads(path.read_text())
     return ReadCounts(counts["replica"], counts["primary"]).replica_share
 
 
-def _judge_exit(series: SeriesReport, targets: Targets) -> int:
-    broken = any(run.judgement and not run.judgement.is_clean for run in series.runs)
+def _choose_exit_code(series: SeriesReport, targets: Targets) -> int:
+    violated = any(run.judgement and not run.judgement.is_clean for run in series.runs)
     unjudged = bool(targets.dump) and series.runs_without_judgement > 0
-    return EXIT_BROKEN if broken or unjudged or series.excess else EXIT_CLEAN
+    return EXIT_VIOLATION if violated or unjudged or series.excess else EXIT_OK
--- a/src/radishtrack/bench/observe.py
+++ b/src/radishtrack/bench/observe.py
@@ -1,4 +1,4 @@
-"""What is read from outside the load: rows, metrics and CPU time; and the faults."""
+"""Access to the deployment beside the load: rows, metrics, CPU time and faults."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from radishtrack.bench.client import (
+    ConnectError,
     Login,
-    ReachError,
     open_connection,
     run_statement,
 )
 from radishtrack.bench.experiment import PREVIOUS, PRIMARY, Experiment, Fault, Targets
-from radishtrack.bench.ledger import Told
+from radishtrack.bench.ledger import ClientOutcome
 from radishtrack.bench.schedule import Operation
 
 DUMP_TIMEOUT_S: Final = 30.0
-DUMP_PAUSE_S: Final = 0.5
+DUMP_RETRY_INTERVAL_S: Final = 0.5
 HTTP_TIMEOUT_S: Final = 5.0
 STATUS_SQL: Final = (
     "SELECT member, term, fenced_term, role, position_term, position_sequence"
@@ -34,7 +34,7 @@
 
 @attrs.define(frozen=True)
 class FaultRecord:
-    """A fault as it was done; `error` is empty if it was accepted."""
+    """An injected fault; `error` is empty if the target accepted it."""
 
     at_ms: float
     name: str
@@ -43,14 +43,14 @@
 
 @attrs.define(frozen=True)
 class ReadCounts:
-    """Reads by the role of the member that served them."""
+    """Number of reads by the role of the member that served them."""
 
     replica: float = 0.0
     primary: float = 0.0
 
     @property
     def replica_share(self) -> float | None:
-        """The share of reads that replicas served; None without reads."""
+        """Share of reads that replicas served; None without reads."""
         total = self.replica + self.primary
         return self.replica / total if total > 0 else None
 
@@ -76,42 +76,42 @@
 
 async def find_primary(targets: Targets) -> Login | None:
     """Return the login of the primary of the highest term among the members."""
-    found: list[tuple[int, Login]] = []
+    primaries: list[tuple[int, Login]] = []
     for address in targets.dump:
         login = Login(
             address, targets.dump_user, targets.dump_password, targets.dump_database
         )
         term = await _read_primary_term(login)
         if term is not None:
-            found.append((term, login))
-    return max(found, key=lambda pair: pair[0])[1] if found else None
+            primaries.append((term, login))
+    return max(primaries, key=lambda pair: pair[0])[1] if primaries else None
 
 
 async def _read_primary_term(login: Login) -> int | None:
     try:
         connection = await open_connection(login, HTTP_TIMEOUT_S)
-    except ReachError:
+    except ConnectError:
         return None
-    answer = await run_statement(connection, STATUS_SQL, HTTP_TIMEOUT_S)
+    result = await run_statement(connection, STATUS_SQL, HTTP_TIMEOUT_S)
     connection.close()
-    if answer.told is not Told.OK or not answer.rows:
+    if result.client_outcome is not ClientOutcome.OK or not result.rows:
         return 0
-    _, term, fenced_term, role, *_ = answer.rows[0]
+    _, term, fenced_term, role, *_ = result.rows[0]
     is_primary = role == "primary" and int(term) == int(fenced_term)
     return int(term) if is_primary else None
 
 
 async def run_on_primary(targets: Targets, statements: tuple[str, ...]) -> None:
-    """Run statements directly on the primary; errors of the database are ignored.
+    """Run statements directly on the primary, ignoring database errors.
 
     Raises
     ------
-    ReachError
-        If no member says that it is the primary.
+    ConnectError
+        If no member reports that it is the primary.
     """
     login = await find_primary(targets)
     if login is None:
-        raise ReachError(Told.NOT_CONNECTED)
+        raise ConnectError(ClientOutcome.NOT_CONNECTED)
     connection = await open_connection(login, HTTP_TIMEOUT_S)
     for sql in statements:
         await run_statement(connection, sql, HTTP_TIMEOUT_S)
@@ -126,7 +126,7 @@
     Returns
     -------
     dict or None
-        None if no primary answered in time, or the targets name no members.
+        None if no primary responded in time, or the targets list no members.
     """
     if not targets.dump:
         return None
@@ -137,7 +137,7 @@
         rows = None if login is None else await _read_markers(experiment, login, run)
         if rows is not None:
             return rows
-        await asyncio.sleep(DUMP_PAUSE_S)
+        await asyncio.sleep(DUMP_RETRY_INTERVAL_S)
     return None
 
 
@@ -146,7 +146,7 @@
 ) -> dict[Operation, list[str]] | None:
     try:
         connection = await open_connection(login, HTTP_TIMEOUT_S)
-    except ReachError:
+    except ConnectError:
         return None
     tables = (
         (Operation.BOOKING, experiment.booking_table),
@@ -155,17 +155,17 @@
     rows: dict[Operation, list[str]] = {}
     for operation, table in tables:
         sql = f"SELECT marker FROM {table} WHERE marker LIKE '{run}-%'"
-        answer = await run_statement(connection, sql, DUMP_TIMEOUT_S)
-        if answer.told is not Told.OK:
+        result = await run_statement(connection, sql, DUMP_TIMEOUT_S)
+        if result.client_outcome is not ClientOutcome.OK:
             connection.close()
             return None
-        rows[operation] = [str(row[0]) for row in answer.rows]
+        rows[operation] = [str(row[0]) for row in result.rows]
     connection.close()
     return rows
 
 
-async def read_counts(targets: Targets) -> ReadCounts | None:
-    """Add up the reads of all proxies; None if the targets name no metrics."""
+async def fetch_read_counts(targets: Targets) -> ReadCounts | None:
+    """Sum the reads of all proxies; None if the targets list no metrics."""
     if not targets.metrics:
         return None
     totals = {"replica": 0.0, "primary": 0.0}
@@ -191,7 +191,7 @@
 
 
 def read_cpu_s(pids: tuple[int, ...]) -> float:
-    """Return the CPU time of processes so far, in seconds; ended ones count 0."""
+    """Return the total CPU time of processes in seconds; ended ones count as 0."""
     ticks = 0
     for pid in pids:
         try:
@@ -205,10 +205,10 @@
     return ticks / os.sysconf("SC_CLK_TCK")
 
 
-async def run_faults(
+async def inject_faults(
     experiment: Experiment, targets: Targets, started_s: float
 ) -> list[FaultRecord]:
-    """Do the experiment's faults at their times."""
+    """Inject the faults of the experiment at their times."""
     loop = asyncio.get_running_loop()
     records = []
     primary = ""
@@ -217,21 +217,21 @@
         if fault.target == PRIMARY:
             primary = await find_primary_name(targets)
         name = primary if fault.target in (PRIMARY, PREVIOUS) else fault.target
-        error = await _do_fault(fault, name, targets)
+        error = await _inject_fault(fault, name, targets)
         text = f"{fault.signal or fault.body} {fault.target} {name}"
         records.append(FaultRecord((loop.time() - started_s) * 1000, text, error))
     return records
 
 
 async def find_primary_name(targets: Targets) -> str:
-    """Return the name of the primary; empty if none says that it is the primary."""
+    """Return the name of the primary; empty if no member reports that role."""
     login = await find_primary(targets)
     if login is None:
         return ""
     return targets.dump_names[targets.dump.index(login.address)]
 
 
-async def _do_fault(fault: Fault, name: str, targets: Targets) -> str:
+async def _inject_fault(fault: Fault, name: str, targets: Targets) -> str:
     try:
         if fault.signal:
             os.kill(targets.pids[name], signal.Signals[fault.signal])
--- a/src/radishtrack/bench/passthrough.py
+++ b/src/radishtrack/bench/passthrough.py
@@ -1,7 +1,7 @@
-"""A plain pass-through server: the baseline for the cost of the proxy.
+"""A plain pass-through server, the baseline for the cost of the proxy.
 
-It uses the same libraries on both sides and takes no decisions. Each client
-connection has its own connection to the target; any client login is accepted.
+It uses the same libraries as the proxy on both sides but makes no decisions. Each
+client connection has its own connection to the target; any client login is accepted.
 """
 
 from __future__ import annotations
@@ -29,12 +29,12 @@
 from mysql_mimic.variables import GlobalVariables, SessionVariables
 
 HOST: Final = "127.0.0.1"
-LOST_CONNECTION: Final = 2013
+CR_SERVER_LOST: Final = 2013
 
 
 @attrs.define(frozen=True)
 class Target:
-    """The server to which everything is passed."""
+    """The server to which all statements are forwarded."""
 
     host: str
     port: int
@@ -43,7 +43,7 @@
 
 
 class _AnyPassword(NativePasswordAuthPlugin):  # type: ignore[misc]
-    """Costs as much as a real check, and accepts everything."""
+    """Runs the real check, for its cost, and accepts any password."""
 
     def password_matches(self, **kwargs: Any) -> bool:
         super().password_matches(**kwargs)
@@ -51,7 +51,7 @@
 
 
 class _AnyUser(IdentityProvider):  # type: ignore[misc]
-    """Accepts every user."""
+    """Accepts any user."""
 
     def get_plugins(self) -> Sequence[Any]:
         return [_AnyPassword()]
@@ -61,7 +61,7 @@
 
 
 class PassthroughSession(BaseSession):  # type: ignore[misc]
-    """Passes each statement to the client's own connection to the target."""
+    """Forwards each statement over the client's own connection to the target."""
 
     def __init__(self, target: Target) -> None:
         self.target = target
@@ -95,7 +95,7 @@
         await self.upstream.select_db(database)
 
     async def handle_query(self, sql: str, attrs: dict[str, str]) -> Any:
-        """Run one statement; returns None for a statement without rows."""
+        """Run one statement; return None if it has no result set."""
         await self.upstream.query(sql)
         result = self.upstream._result
         if result.description is None:
@@ -105,19 +105,19 @@
 
 
 def _make_column(field: Sequence[Any]) -> Any:
-    # Values stay the bytes that the target sent, so no encoder has to know them.
-    return ResultColumn(str(field[0]), ColumnType(field[1]), text_encoder=_keep)
+    # Values are forwarded as the bytes that the target sent, without re-encoding.
+    return ResultColumn(str(field[0]), ColumnType(field[1]), text_encoder=_pass_bytes)
 
 
-def _keep(column: Any, value: bytes) -> bytes:
+def _pass_bytes(column: Any, value: bytes) -> bytes:
     return value
 
 
 class PassthroughConnection(Connection):  # type: ignore[misc]
-    """Adds what the library leaves out: affected rows and the target's errors."""
+    """Adds what the library lacks: affected rows and the errors of the target."""
 
     async def handle_query(self, data: bytes) -> None:
-        """Run one statement and answer it."""
+        """Run one statement and send the response."""
         query = packets.parse_com_query(
             capabilities=self.capabilities,
             client_charset=self.client_charset,
@@ -144,7 +144,7 @@
 def _make_error_packet(error: BaseException) -> bytes:
     code = error.args[0] if error.args and type(error.args[0]) is int else 0
     message = str(error.args[1] if len(error.args) > 1 else error)
-    number = (code or LOST_CONNECTION).to_bytes(2, "little")
+    number = (code or CR_SERVER_LOST).to_bytes(2, "little")
     return b"\xff" + number + b"#HY000" + message.encode()
 
 
@@ -154,7 +154,7 @@
     Parameters
     ----------
     target : Target
-        The server to which everything is passed.
+        The server to which all statements are forwarded.
     port : int
         TCP port; 0 chooses a free one.
 
--- a/src/radishtrack/bench/plots.py
+++ b/src/radishtrack/bench/plots.py
@@ -9,7 +9,7 @@
 import matplotlib
 from matplotlib.figure import Figure
 
-from radishtrack.bench.ledger import Told
+from radishtrack.bench.ledger import ClientOutcome
 from radishtrack.bench.load import RunResult
 from radishtrack.bench.report import make_histogram
 from radishtrack.bench.schedule import Operation
@@ -21,35 +21,35 @@
 
 
 def plot_run(result: RunResult, directory: Path, name: str) -> tuple[Path, ...]:
-    """Write the answers over time and the latency distribution.
+    """Plot the client outcomes over time and the latency distribution.
 
     Parameters
     ----------
     result : RunResult
         The run.
     directory : Path
-        Where the files go.
+        Directory of the files.
     name : str
-        Beginning of the file names.
+        Prefix of the file names.
 
     Returns
     -------
     tuple of Path
-        The files.
+        Paths of the files.
     """
-    answers = directory / f"{name}-answers.png"
+    outcomes = directory / f"{name}-answers.png"
     latency = directory / f"{name}-latency.png"
-    _plot_answers(result).savefig(answers, dpi=110)
+    _plot_outcomes(result).savefig(outcomes, dpi=110)
     _plot_latency(result).savefig(latency, dpi=110)
-    return answers, latency
+    return outcomes, latency
 
 
-def _plot_answers(result: RunResult) -> Figure:
+def _plot_outcomes(result: RunResult) -> Figure:
     figure = Figure(figsize=(9, 4.5), layout="constrained")
     axes = figure.subplots()
     bins = int(result.experiment.duration_s / BIN_S) + 1
     edges = [index * BIN_S for index in range(bins + 1)]
-    series = dict(_iterate_times(result))
+    series = dict(_iterate_end_times(result))
     axes.hist(
         list(series.values()),
         bins=edges,
@@ -59,19 +59,23 @@
     )
     for fault in result.faults:
         axes.axvline(fault.at_ms / 1000, color="black", linestyle="--", linewidth=1)
-    axes.set_xlabel("time of the answer (s)")
+    axes.set_xlabel("time of the result (s)")
     axes.set_ylabel("requests per second")
-    axes.set_title(f"{result.experiment.name}: answers (dashed: faults)")
+    axes.set_title(f"{result.experiment.name}: client outcomes (dashed: faults)")
     if series:
         axes.legend(fontsize="small")
     return figure
 
 
-def _iterate_times(result: RunResult) -> Iterator[tuple[str, list[float]]]:
-    for told in Told:
-        times = [s.ended_ms / 1000 for s in result.samples if s.told is told]
+def _iterate_end_times(result: RunResult) -> Iterator[tuple[str, list[float]]]:
+    for client_outcome in ClientOutcome:
+        times = [
+            s.ended_ms / 1000
+            for s in result.samples
+            if s.client_outcome is client_outcome
+        ]
         if times:
-            yield told.value, times
+            yield client_outcome.value, times
 
 
 def _plot_latency(result: RunResult) -> Figure:
@@ -81,7 +85,8 @@
         histogram = make_histogram(
             sample
             for sample in result.samples
-            if sample.arrival.operation is operation and sample.told is Told.OK
+            if sample.arrival.operation is operation
+            and sample.client_outcome is ClientOutcome.OK
         )
         if histogram.get_total_count() == 0:
             continue
@@ -89,8 +94,8 @@
             histogram.get_value_at_percentile(percentile) / 1000
             for percentile in PERCENTILES
         ]
-        tails = [1 / (1 - percentile / 100) for percentile in PERCENTILES]
-        axes.plot(tails, values, marker=".", label=operation.value)
+        inverse_tails = [1 / (1 - percentile / 100) for percentile in PERCENTILES]
+        axes.plot(inverse_tails, values, marker=".", label=operation.value)
     axes.set_xscale("log")
     axes.set_yscale("log")
     axes.set_xticks([2, 10, 100, 1000], ["50%", "90%", "99%", "99.9%"])
--- a/src/radishtrack/bench/report.py
+++ b/src/radishtrack/bench/report.py
@@ -1,4 +1,4 @@
-"""The measures of one run and of its repeats, as JSON and as a text table."""
+"""Measures of one run and of a series of repeated runs, as JSON and text tables."""
 
 from __future__ import annotations
 
@@ -15,18 +15,23 @@
 from hdrh.histogram import HdrHistogram
 
 from radishtrack.bench.experiment import OrganisationLoad
-from radishtrack.bench.ledger import Judgement, Told
+from radishtrack.bench.ledger import ClientOutcome, Judgement
 from radishtrack.bench.load import RunResult, Sample
 from radishtrack.bench.observe import FaultRecord
 from radishtrack.bench.schedule import Operation
 
 MICROSECONDS_PER_MILLISECOND: Final = 1000
 MICROSECONDS_PER_SECOND: Final = 1_000_000
-LONGEST_LATENCY_US: Final = 3_600_000_000
+MAX_LATENCY_US: Final = 3_600_000_000
 SIGNIFICANT_FIGURES: Final = 3
-SHOWN_MARKERS: Final = 10
+MAX_SHOWN_MARKERS: Final = 10
 REFUSALS: Final = frozenset(
-    {Told.REFUSED, Told.OVER_RATE, Told.NO_SERVICE, Told.DRAINING}
+    {
+        ClientOutcome.REFUSED,
+        ClientOutcome.OVER_RATE,
+        ClientOutcome.NO_SERVICE,
+        ClientOutcome.DRAINING,
+    }
 )
 
 
@@ -57,11 +62,11 @@
     served : int
         Requests that succeeded.
     share : float
-        Served part of what it was due, at most 1.
+        Ratio of served to due requests, at most 1.
     refused : int
         Requests that were refused.
     refused_within_rate : int
-        Refused requests without which it would have got its due.
+        Refused requests, up to the number by which fewer were served than due.
     excess : int
         Served requests beyond its burst and its rate over the whole run.
     p99_ms : float
@@ -88,7 +93,7 @@
     duration_s: float
     requests: int
     answers: dict[str, dict[str, int]]
-    """Number of requests by operation and answer."""
+    """Number of requests by operation and client outcome."""
     latencies: dict[str, Latency]
     """Latency of successful requests by operation."""
     service_gap_s: float | None
@@ -97,9 +102,9 @@
     unknown_outcomes: int
     replica_share: float | None
     cpu_us_per_request: float | None
-    """CPU time of the measured processes beyond their idle time."""
+    """CPU time of the measured processes, less their idle CPU time."""
     idle_cores: float
-    """Cores that the measured processes use without load."""
+    """Number of cores that the measured processes use without load."""
     judgement: Judgement | None
     faults: tuple[FaultRecord, ...]
     moves: int
@@ -108,39 +113,38 @@
 
     @property
     def worst_served(self) -> OrganisationService:
-        """The organisation with the lowest share of its due."""
+        """The organisation with the lowest share."""
         return min(self.organisations, key=lambda service: service.share)
 
     @property
     def refused_within_rate(self) -> int:
-        """Requests of all organisations that were refused within their rate."""
+        """Refused requests of all organisations within their rates."""
         return sum(service.refused_within_rate for service in self.organisations)
 
     @property
     def excess(self) -> int:
-        """Requests of all organisations that were served beyond their limits."""
+        """Served requests of all organisations beyond their limits."""
         return sum(service.excess for service in self.organisations)
 
 
 def make_histogram(samples: Iterable[Sample]) -> Any:
-    """Return the latencies of samples as an HdrHistogram in microseconds."""
-    histogram = HdrHistogram(1, LONGEST_LATENCY_US, SIGNIFICANT_FIGURES)
+    """Return an HdrHistogram of the latencies in microseconds."""
+    histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_FIGURES)
     for sample in samples:
         latency_us = round(sample.latency_ms * MICROSECONDS_PER_MILLISECOND)
-        histogram.record_value(max(1, min(latency_us, LONGEST_LATENCY_US)))
+        histogram.record_value(max(1, min(latency_us, MAX_LATENCY_US)))
     return histogram
 
 
-def make_report(result: RunResult, reads_table: float | None = None) -> RunReport:
+def make_report(result: RunResult, replica_share: float | None = None) -> RunReport:
     """Return the measures of one run.
 
     Parameters
     ----------
     result : RunResult
         The run.
-    reads_table : float or None
-        Share of reads by replicas if the caller knows it; otherwise the share that
-        was read from the metrics.
+    replica_share : float or None
+        Share of reads that replicas served; None to use the share from the metrics.
 
     Returns
     -------
@@ -150,7 +154,11 @@
     experiment, samples = result.experiment, result.samples
     answers = {
         operation.value: dict(
-            Counter(s.told.value for s in samples if s.arrival.operation is operation)
+            Counter(
+                s.client_outcome.value
+                for s in samples
+                if s.arrival.operation is operation
+            )
         )
         for operation in Operation
     }
@@ -167,7 +175,7 @@
             _make_service(load, samples) for load in experiment.organisations
         ),
         unknown_outcomes=sum(_is_unknown_write(sample) for sample in samples),
-        replica_share=measured_share if reads_table is None else reads_table,
+        replica_share=measured_share if replica_share is None else replica_share,
         cpu_us_per_request=(
             max(0.0, result.cpu_s - result.idle_cpu_s)
             * (MICROSECONDS_PER_SECOND / len(samples))
@@ -186,26 +194,34 @@
 def find_service_gap_s(samples: Iterable[Sample], duration_s: float) -> float | None:
     """Return the longest time without a successful booking, in seconds.
 
-    The start and the end of the load count as bookings. None without any booking.
+    The start and the end of the load count as bookings. None without booking requests.
     """
     bookings = [s for s in samples if s.arrival.operation is Operation.BOOKING]
     if not bookings:
         return None
-    done = (s.ended_ms / 1000 for s in bookings if s.told is Told.OK)
-    inside = [at_s for at_s in done if at_s < duration_s]
+    ended_s = (
+        s.ended_ms / 1000 for s in bookings if s.client_outcome is ClientOutcome.OK
+    )
+    inside = [at_s for at_s in ended_s if at_s < duration_s]
     times = [0.0, *sorted(inside), duration_s]
     return max(later - earlier for earlier, later in itertools.pairwise(times))
 
 
 def _is_unknown_write(sample: Sample) -> bool:
-    unknown = (Told.UNKNOWN, Told.CONNECTION_LOST, Told.TIMED_OUT)
-    return sample.arrival.operation.is_write and sample.told in unknown
+    unknown = (
+        ClientOutcome.UNKNOWN,
+        ClientOutcome.CONNECTION_LOST,
+        ClientOutcome.TIMED_OUT,
+    )
+    return sample.arrival.operation.is_write and sample.client_outcome in unknown
 
 
 def _iterate_latencies(samples: Sequence[Sample]) -> Iterator[tuple[str, Latency]]:
     for operation in Operation:
         histogram = make_histogram(
-            s for s in samples if s.arrival.operation is operation and s.told is Told.OK
+            s
+            for s in samples
+            if s.arrival.operation is operation and s.client_outcome is ClientOutcome.OK
         )
         if histogram.get_total_count():
             yield operation.value, _make_latency(histogram)
@@ -230,9 +246,9 @@
     load: OrganisationLoad, samples: Sequence[Sample]
 ) -> OrganisationService:
     own = [sample for sample in samples if sample.arrival.organisation == load.name]
-    served = [sample for sample in own if sample.told is Told.OK]
+    served = [sample for sample in own if sample.client_outcome is ClientOutcome.OK]
     due = sum(sample.arrival.is_within_rate for sample in own)
-    refused = sum(sample.told in REFUSALS for sample in own)
+    refused = sum(sample.client_outcome in REFUSALS for sample in own)
     histogram = make_histogram(served)
     p99_us = histogram.get_value_at_percentile(99.0) if served else 0
     return OrganisationService(
@@ -242,8 +258,8 @@
         served=len(served),
         share=min(1.0, len(served) / due) if due else 1.0,
         refused=refused,
-        # Which of the requests of an overload are within the rate depends on the
-        # proxy's bucket, so only the number is compared.
+        # The proxy's bucket decides which requests of an overload are within the
+        # rate, so only their number is compared.
         refused_within_rate=min(refused, max(0, due - len(served))),
         excess=_find_excess(load, served),
         p99_ms=p99_us / MICROSECONDS_PER_MILLISECOND,
@@ -259,7 +275,7 @@
 
 @attrs.define(frozen=True)
 class SeriesReport:
-    """The measures over all repeats of an experiment."""
+    """Measures over all runs of an experiment."""
 
     experiment: str
     repeats: int
@@ -282,14 +298,14 @@
 
 
 def make_series(runs: Sequence[RunReport]) -> SeriesReport:
-    """Return the measures over all repeats."""
+    """Return the measures over all runs."""
     gaps = [run.service_gap_s for run in runs if run.service_gap_s is not None]
     shares = [run.replica_share for run in runs if run.replica_share is not None]
     worst = min((run.worst_served for run in runs), key=lambda service: service.share)
-    found = [run.judgement for run in runs if run.judgement is not None]
+    judgements = [run.judgement for run in runs if run.judgement is not None]
 
     def total(measure: Callable[[Judgement], int]) -> int:
-        return sum(measure(judgement) for judgement in found)
+        return sum(measure(judgement) for judgement in judgements)
 
     return SeriesReport(
         experiment=runs[0].experiment,
@@ -304,11 +320,13 @@
         unknown_outcomes=sum(run.unknown_outcomes for run in runs),
         lost=total(lambda judgement: len(judgement.lost)),
         duplicated=total(lambda judgement: len(judgement.duplicated)),
-        ran_although_refused=total(lambda found: len(found.ran_although_refused)),
+        ran_although_refused=total(
+            lambda judgement: len(judgement.ran_although_refused)
+        ),
         own_writes_missed=total(lambda judgement: judgement.own_writes_missed),
         stale_strict_reads=total(lambda judgement: judgement.stale_strict_reads),
         stale_aged_reads=total(lambda judgement: judgement.stale_aged_reads),
-        runs_without_judgement=len(runs) - len(found),
+        runs_without_judgement=len(runs) - len(judgements),
         runs=tuple(runs),
     )
 
@@ -331,11 +349,13 @@
     yield f"{series.experiment}: {series.repeats} run(s)"
     names = [field.name for field in attrs.fields(SeriesReport)]
     for name in names[2:-1]:
-        yield f"  {name:<26} {_show(getattr(series, name))}"
+        yield f"  {name:<26} {_format_value(getattr(series, name))}"
     for number, run in enumerate(series.runs):
         yield f"run {number}: seed {run.seed}, {run.requests} requests"
         for operation, counts in run.answers.items():
-            shown = ", ".join(f"{told}: {count}" for told, count in counts.items())
+            shown = ", ".join(
+                f"{client_outcome}: {count}" for client_outcome, count in counts.items()
+            )
             yield f"  {operation:<13} {shown}"
         yield f"  {'latency (ms)':<13} {'p50':>9} {'p90':>9} {'p99':>9} {'max':>9}"
         for operation, latency in run.latencies.items():
@@ -354,26 +374,26 @@
             f"{service.refused_within_rate:>8} {service.excess:>6}"
         )
     if run.judgement is not None:
-        judged = run.judgement
+        verdict = run.judgement
         yield (
-            f"  writes: {judged.acknowledged} acknowledged, {judged.not_run} not run, "
-            f"{judged.unknown} unknown ({judged.unknown_present} of them present); "
-            f"{judged.rows_expected} rows expected by reads"
+            f"  writes: {verdict.acknowledged} acknowledged, {verdict.not_run} not run,"
+            f" {verdict.unknown} unknown ({verdict.unknown_present} of them present); "
+            f"{verdict.rows_expected} rows expected by reads"
         )
-        broken = (*judged.lost, *judged.duplicated, *judged.ran_although_refused)
-        if broken:
-            yield f"  broken promises: {', '.join(broken[:SHOWN_MARKERS])}"
+        violations = (*verdict.lost, *verdict.duplicated, *verdict.ran_although_refused)
+        if violations:
+            yield f"  violations: {', '.join(violations[:MAX_SHOWN_MARKERS])}"
     for fault in run.faults:
         error = f" ({fault.error})" if fault.error else ""
         yield f"  fault at {fault.at_ms / 1000:.2f} s: {fault.name}{error}"
-    cpu = _show(run.cpu_us_per_request)
+    cpu = _format_value(run.cpu_us_per_request)
     yield (
         f"  cpu us/request {cpu}, idle cores {run.idle_cores:.3f}, "
         f"moves {run.moves}, lost connections {run.lost_connections}"
     )
 
 
-def _show(value: object) -> str:
+def _format_value(value: object) -> str:
     if value is None:
         return "-"
     return f"{value:.3f}" if isinstance(value, float) else str(value)
--- a/src/radishtrack/bench/schedule.py
+++ b/src/radishtrack/bench/schedule.py
@@ -1,4 +1,4 @@
-"""When which session sends what: a function of the experiment and its seed."""
+"""Schedule of all requests, determined by the experiment and its seed."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Operation(enum.Enum):
-    """What one request does."""
+    """Kind of a request."""
 
     BOOKING = "booking"
     STATUS = "status"
@@ -25,7 +25,7 @@
 
     @property
     def is_write(self) -> bool:
-        """Whether the request adds a row."""
+        """Whether the request inserts a row."""
         return self in (Operation.BOOKING, Operation.RECEIPT)
 
 
@@ -38,15 +38,15 @@
     at_ms : float
         Intended send time from the start of the load, in milliseconds.
     organisation : str
-        Whose request it is.
+        Organisation that sends it.
     session : int
-        Which of the organisation's sessions sends it.
+        Index of the organisation's session that sends it.
     number : int
         Number of the request within the organisation.
     operation : Operation
-        What it does.
+        Kind of the request.
     is_within_rate : bool
-        Whether a token bucket of the organisation's rate and burst admits it.
+        Whether a token bucket with the organisation's rate and burst admits it.
     """
 
     at_ms: float
@@ -60,8 +60,8 @@
 def make_schedule(experiment: Experiment) -> Iterator[Arrival]:
     """Return all requests in the order of their send times.
 
-    Each organisation is a Poisson process of its own, so adding an organisation does
-    not change what the others send.
+    Each organisation is a separate Poisson process with its own random numbers, so
+    adding an organisation does not change the requests of the others.
     """
     return heapq.merge(
         *(_iterate_arrivals(experiment, load) for load in experiment.organisations)
@@ -71,29 +71,29 @@
 def _iterate_arrivals(
     experiment: Experiment, load: OrganisationLoad
 ) -> Iterator[Arrival]:
-    chance = random.Random(f"{experiment.seed} {load.name}")
+    rng = random.Random(f"{experiment.seed} {load.name}")
     operations, weights = _split_mix(experiment.mix)
-    # The fastest rate is thinned to the rate at each moment.
+    # Arrivals at the highest rate are thinned to the current rate.
     factors = [o.factor for o in experiment.overloads if o.organisation == load.name]
-    fastest_per_s = load.offered_per_s * max([1.0, *factors])
-    tokens, last_s, at_s, number = load.burst, 0.0, 0.0, 0
+    max_per_s = load.offered_per_s * max([1.0, *factors])
+    tokens, last_refill_s, at_s, number = load.burst, 0.0, 0.0, 0
     while True:
-        at_s += chance.expovariate(fastest_per_s)
+        at_s += rng.expovariate(max_per_s)
         if at_s >= experiment.duration_s:
             return
-        if chance.random() * fastest_per_s >= _offered_per_s(experiment, load, at_s):
+        if rng.random() * max_per_s >= _offered_per_s(experiment, load, at_s):
             continue
-        tokens = min(load.burst, tokens + (at_s - last_s) * load.limit_per_s)
-        last_s = at_s
+        tokens = min(load.burst, tokens + (at_s - last_refill_s) * load.limit_per_s)
+        last_refill_s = at_s
         is_within_rate = load.limit_per_s == 0 or tokens >= 1
         if is_within_rate:
             tokens -= 1
         yield Arrival(
             at_s * MILLISECONDS_PER_SECOND,
             load.name,
-            chance.randrange(load.sessions),
+            rng.randrange(load.sessions),
             number,
-            chance.choices(operations, weights)[0],
+            rng.choices(operations, weights)[0],
             is_within_rate,
         )
         number += 1
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -1,4 +1,4 @@
-"""Guards the load tool: what it sends, what it measures, and that it finds faults."""
+"""Tests of the load tool: its requests, its measures and its fault detection."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
     parse_targets,
 )
 from radishtrack.bench.ledger import (
+    ClientOutcome,
     Judgement,
     Ledger,
     MissedRow,
-    Told,
     Write,
     classify_error,
     judge,
 )
 from radishtrack.bench.load import RunResult, Sample
-from radishtrack.bench.main import read_job
+from radishtrack.bench.main import parse_job
 from radishtrack.bench.plots import plot_run
 from radishtrack.bench.report import (
     find_service_gap_s,
@@ -54,18 +54,18 @@
 
 
 @pytest.mark.parametrize("path", EXPERIMENTS, ids=lambda path: path.stem)
-def test_every_experiment_of_the_repository_is_valid(path: Path) -> None:
-    found = parse_experiment(path.read_text())
-    assert found.is_ok(), found.error
-    assert found.ok.name == path.stem
+def test_every_experiment_in_the_repository_is_valid(path: Path) -> None:
+    result = parse_experiment(path.read_text())
+    assert result.is_ok(), result.error
+    assert result.ok.name == path.stem
 
 
-def test_all_experiments_are_there() -> None:
+def test_repository_has_six_experiments() -> None:
     assert len(EXPERIMENTS) == 6
 
 
 @pytest.mark.parametrize(
-    ("change", "place"),
+    ("change", "path"),
     [
         (("duration_s = 5", ""), "duration_s"),
         (("duration_s = 5", "duration_s = -5"), "duration_s"),
@@ -83,23 +83,23 @@
         (("name =", "name"), "text"),
     ],
 )
-def test_a_bad_experiment_is_refused_with_the_place(
-    change: tuple[str, str], place: str
+def test_an_invalid_experiment_is_rejected_with_the_path(
+    change: tuple[str, str], path: str
 ) -> None:
     assert parse_experiment(VALID).is_ok()
-    found = parse_experiment(VALID.replace(*change, 1))
-    assert place in [problem.place for problem in found.error]
+    result = parse_experiment(VALID.replace(*change, 1))
+    assert path in [problem.path for problem in result.error]
 
 
-def test_a_fault_without_a_target_is_found_before_the_load_starts() -> None:
+def test_a_fault_without_a_target_is_rejected_before_the_load_starts() -> None:
     fault = '[[faults]]\nat_s = 1\ntarget = "m"\nsignal = "SIGKILL"\n'
     targets = 'addresses = ["127.0.0.1:1"]\n'
-    assert read_job(VALID + fault, targets).is_error()
-    assert read_job(VALID + fault, targets + "[pids]\nm = 77\n").is_ok()
+    assert parse_job(VALID + fault, targets).is_error()
+    assert parse_job(VALID + fault, targets + "[pids]\nm = 77\n").is_ok()
     assert parse_targets(targets + "[pids]\nm = 1\n").is_error()
 
 
-def test_the_schedule_is_a_function_of_the_seed() -> None:
+def test_the_schedule_depends_only_on_the_seed() -> None:
     first = list(make_schedule(LOAD))
     assert first == list(make_schedule(LOAD))
     assert first != list(make_schedule(attrs.evolve(LOAD, seed=2)))
@@ -135,50 +135,54 @@
 
 
 @pytest.mark.parametrize(
-    ("code", "told", "outcome"),
+    ("code", "client_outcome", "outcome"),
     [
-        (9001, Told.REFUSED, Outcome.NOT_RUN),
-        (9002, Told.UNKNOWN, Outcome.UNKNOWN),
-        (9003, Told.OVER_RATE, Outcome.NOT_RUN),
-        (9006, Told.DRAINING, Outcome.NOT_RUN),
-        (1045, Told.DENIED, Outcome.NOT_RUN),
-        (1062, Told.DATABASE_ERROR, Outcome.NOT_RUN),
-        (2013, Told.CONNECTION_LOST, Outcome.UNKNOWN),
-        (0, Told.CONNECTION_LOST, Outcome.UNKNOWN),
+        (9001, ClientOutcome.REFUSED, Outcome.NOT_RUN),
+        (9002, ClientOutcome.UNKNOWN, Outcome.UNKNOWN),
+        (9003, ClientOutcome.OVER_RATE, Outcome.NOT_RUN),
+        (9006, ClientOutcome.DRAINING, Outcome.NOT_RUN),
+        (1045, ClientOutcome.DENIED, Outcome.NOT_RUN),
+        (1062, ClientOutcome.DATABASE_ERROR, Outcome.NOT_RUN),
+        (2013, ClientOutcome.CONNECTION_LOST, Outcome.UNKNOWN),
+        (0, ClientOutcome.CONNECTION_LOST, Outcome.UNKNOWN),
     ],
 )
-def test_error_numbers(code: int, told: Told, outcome: Outcome) -> None:
-    assert classify_error(code) is told
-    assert told.outcome is outcome
+def test_error_numbers_are_classified(
+    code: int, client_outcome: ClientOutcome, outcome: Outcome
+) -> None:
+    assert classify_error(code) is client_outcome
+    assert client_outcome.outcome is outcome
 
 
-def _judge(told: Told, copies: int, has_unknown_attempt: bool = False) -> Judgement:
+def _judge(
+    client_outcome: ClientOutcome, copies: int, has_unknown_attempt: bool = False
+) -> Judgement:
     ledger = Ledger()
-    write = Write("w", Operation.BOOKING, "shop", told, has_unknown_attempt)
+    write = Write("w", Operation.BOOKING, "shop", client_outcome, has_unknown_attempt)
     ledger.add_write(write, 1.0)
     return judge(ledger, {Operation.BOOKING: ["w"] * copies, Operation.RECEIPT: []})
 
 
 @pytest.mark.parametrize(
-    ("judgement", "broken"),
+    ("judgement", "violation"),
     [
-        (_judge(Told.OK, 1), None),
-        (_judge(Told.OK, 0), "lost"),
-        (_judge(Told.OK, 2), "duplicated"),
-        (_judge(Told.REFUSED, 0), None),
-        (_judge(Told.OVER_RATE, 1), "ran_although_refused"),
-        (_judge(Told.UNKNOWN, 0), None),
-        (_judge(Told.CONNECTION_LOST, 1), None),
-        (_judge(Told.UNKNOWN, 2), "duplicated"),
-        (_judge(Told.REFUSED, 1, has_unknown_attempt=True), None),
+        (_judge(ClientOutcome.OK, 1), None),
+        (_judge(ClientOutcome.OK, 0), "lost"),
+        (_judge(ClientOutcome.OK, 2), "duplicated"),
+        (_judge(ClientOutcome.REFUSED, 0), None),
+        (_judge(ClientOutcome.OVER_RATE, 1), "ran_although_refused"),
+        (_judge(ClientOutcome.UNKNOWN, 0), None),
+        (_judge(ClientOutcome.CONNECTION_LOST, 1), None),
+        (_judge(ClientOutcome.UNKNOWN, 2), "duplicated"),
+        (_judge(ClientOutcome.REFUSED, 1, has_unknown_attempt=True), None),
     ],
 )
-def test_the_ledger_is_judged_against_the_rows(
-    judgement: Judgement, broken: str | None
+def test_the_ledger_is_compared_with_the_rows(
+    judgement: Judgement, violation: str | None
 ) -> None:
-    assert judgement.is_clean is (broken is None)
+    assert judgement.is_clean is (violation is None)
     for name in ("lost", "duplicated", "ran_although_refused"):
-        assert bool(getattr(judgement, name)) is (name == broken)
+        assert bool(getattr(judgement, name)) is (name == violation)
 
 
 @pytest.mark.parametrize(
@@ -190,7 +194,7 @@
         (Operation.AGED, True, "own_writes_missed"),
     ],
 )
-def test_missed_rows_are_broken_promises(
+def test_missed_rows_violate_a_guarantee(
     operation: Operation, is_own: bool, field: str
 ) -> None:
     ledger = Ledger(missed=[MissedRow(operation, "shop", "w", is_own, 1.0)])
@@ -199,27 +203,32 @@
     assert not judgement.is_clean
 
 
-def test_reads_expect_only_rows_that_were_acknowledged_before() -> None:
+def test_reads_expect_only_rows_acknowledged_before() -> None:
     ledger = Ledger()
     for marker, at_ms in (("a", 10.0), ("b", 20.0)):
-        ledger.add_write(Write(marker, Operation.BOOKING, "shop", Told.OK), at_ms)
-    ledger.add_write(Write("c", Operation.BOOKING, "shop", Told.UNKNOWN), 30.0)
-    assert ledger.latest_before(25.0) == "b"
-    assert ledger.latest_before(15.0) == "a"
-    assert ledger.latest_before(5.0) is None
+        ledger.add_write(
+            Write(marker, Operation.BOOKING, "shop", ClientOutcome.OK), at_ms
+        )
+    ledger.add_write(Write("c", Operation.BOOKING, "shop", ClientOutcome.UNKNOWN), 30.0)
+    assert ledger.find_latest_before(25.0) == "b"
+    assert ledger.find_latest_before(15.0) == "a"
+    assert ledger.find_latest_before(5.0) is None
 
 
 def _sample(
-    at_s: float, told: Told = Told.OK, name: str = "shop", is_within_rate: bool = True
+    at_s: float,
+    client_outcome: ClientOutcome = ClientOutcome.OK,
+    name: str = "shop",
+    is_within_rate: bool = True,
 ) -> Sample:
     arrival = Arrival(at_s * 1000, name, 0, 0, Operation.BOOKING, is_within_rate)
-    return Sample(arrival, told, at_s * 1000 + 5)
+    return Sample(arrival, client_outcome, at_s * 1000 + 5)
 
 
 def test_the_service_gap_counts_only_successful_bookings() -> None:
-    samples = [_sample(1), _sample(2), _sample(4, Told.REFUSED), _sample(7)]
+    samples = [_sample(1), _sample(2), _sample(4, ClientOutcome.REFUSED), _sample(7)]
     assert find_service_gap_s(samples, 8.0) == pytest.approx(5.0)
-    assert find_service_gap_s([_sample(1, Told.UNKNOWN)], 8.0) == 8.0
+    assert find_service_gap_s([_sample(1, ClientOutcome.UNKNOWN)], 8.0) == 8.0
     assert find_service_gap_s([], 8.0) is None
 
 
@@ -232,18 +241,20 @@
 
 
 def test_service_beyond_rate_and_burst_is_counted() -> None:
-    """Guards the limit: 10 of burst and 60 a second for the second that it took."""
+    """The limit is a burst of 10 and 60 requests per second, over one second."""
     served = [_sample(0.995)] * 75
     report = make_report(RunResult(LOAD, served, Ledger()))
     assert report.excess == 5
     assert make_report(RunResult(LOAD, served[:70], Ledger())).excess == 0
 
 
-def test_the_share_compares_with_what_the_rate_admits(tmp_path: Path) -> None:
-    shop = [_sample(1, Told.OK)] * 6 + [_sample(1, Told.OVER_RATE, "shop", False)] * 9
-    office = [_sample(1, Told.OK, "office")] * 3 + [
-        _sample(2, Told.REFUSED, "office"),
-        _sample(2, Told.UNKNOWN, "office"),
+def test_the_share_is_relative_to_the_requests_within_the_rate(tmp_path: Path) -> None:
+    shop = [_sample(1, ClientOutcome.OK)] * 6 + [
+        _sample(1, ClientOutcome.OVER_RATE, "shop", False)
+    ] * 9
+    office = [_sample(1, ClientOutcome.OK, "office")] * 3 + [
+        _sample(2, ClientOutcome.REFUSED, "office"),
+        _sample(2, ClientOutcome.UNKNOWN, "office"),
     ]
     result = RunResult(LOAD, shop + office, Ledger())
     report = make_report(result)
--- a/tests/test_bench_run.py
+++ b/tests/test_bench_run.py
@@ -1,4 +1,4 @@
-"""Guards whole runs over real connections, through the pass-through as well."""
+"""Tests of whole runs over real connections, also through the pass-through."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 from radishtrack.bench.experiment import Experiment, Mix, OrganisationLoad, Roaming
 from radishtrack.bench.experiment import Targets as TargetList
-from radishtrack.bench.ledger import Judgement, Told
+from radishtrack.bench.ledger import ClientOutcome, Judgement
 from radishtrack.bench.load import RunResult, run_experiment
 from radishtrack.bench.passthrough import Target, start_passthrough
 
@@ -33,26 +33,26 @@
 
 @attrs.define
 class FakeDatabase:
-    """Tables of markers, with switches that break one guarantee each."""
+    """Tables of markers, with flags that each violate one guarantee."""
 
     rows: dict[str, list[str]] = attrs.field(
         factory=lambda: {"bench_booking": [], "bench_receipt": []}
     )
-    loses: bool = False
-    doubles: bool = False
-    lies: bool = False
-    """Refuses writes as not run and runs them."""
-    hides: bool = False
-    """Reads do not see the last rows."""
+    loses_writes: bool = False
+    duplicates_writes: bool = False
+    refuses_after_write: bool = False
+    """Runs writes but reports them as not run."""
+    hides_last_rows: bool = False
+    """Reads do not return the last five rows."""
     drops_receipts: int = 0
-    """Number of receipts that run without an answer."""
-    seen: list[str] = attrs.field(factory=list)
+    """Number of receipts that run before the connection is aborted."""
+    statements: list[str] = attrs.field(factory=list)
     tokens: list[str] = attrs.field(factory=list)
-    """Session attributes of the connections that had one."""
+    """Session tokens that connections sent as an attribute."""
 
     def run(self, sql: str) -> Any:
-        """Answer one statement."""
-        self.seen.append(sql)
+        """Run one statement and return its rows and column names."""
+        self.statements.append(sql)
         words = re.sub(r"/\*.*?\*/", "", sql).split()
         if words[0] == "INSERT":
             return self._insert(words[2], re.findall(r"'([^']*)'", sql)[1], sql)
@@ -66,21 +66,21 @@
 
     def _insert(self, table: str, marker: str, sql: str) -> None:
         is_repeated = "request_id" in sql and marker in self.rows[table]
-        if not self.loses and not is_repeated:
-            self.rows[table] += [marker] * (2 if self.doubles else 1)
-        if self.lies:
+        if not self.loses_writes and not is_repeated:
+            self.rows[table] += [marker] * (2 if self.duplicates_writes else 1)
+        if self.refuses_after_write:
             raise MysqlError("refused", ErrorCode.NOT_SUPPORTED_YET)
         if "request_id" in sql and self.drops_receipts > 0:
             self.drops_receipts -= 1
             raise ConnectionResetError
 
-    def _select(self, table: str, wanted: list[str]) -> Any:
-        if wanted[0].endswith("%"):
-            shown = [m for m in self.rows[table] if m.startswith(wanted[0][:-1])]
+    def _select(self, table: str, markers: list[str]) -> Any:
+        if markers[0].endswith("%"):
+            shown = [m for m in self.rows[table] if m.startswith(markers[0][:-1])]
         else:
             held = self.rows[table]
-            end = len(held) - (5 if self.hides else 0)
-            shown = [marker for marker in held[: max(0, end)] if marker in wanted]
+            end = len(held) - (5 if self.hides_last_rows else 0)
+            shown = [marker for marker in held[: max(0, end)] if marker in markers]
         return [(marker,) for marker in shown], ["marker"]
 
 
@@ -129,7 +129,7 @@
 async def test_a_correct_database_is_judged_clean() -> None:
     database = FakeDatabase()
     result, judgement = await _run(database)
-    assert {sample.told for sample in result.samples} == {Told.OK}
+    assert {sample.client_outcome for sample in result.samples} == {ClientOutcome.OK}
     assert judgement.is_clean
     assert judgement.acknowledged == sum(len(rows) for rows in database.rows.values())
     assert judgement.rows_expected > 20
@@ -138,27 +138,27 @@
 @pytest.mark.parametrize(
     ("fault", "fields"),
     [
-        ({"loses": True}, ["lost"]),
-        ({"doubles": True}, ["duplicated"]),
-        ({"lies": True}, ["ran_although_refused"]),
-        ({"hides": True}, ["own_writes_missed", "stale_strict_reads"]),
+        ({"loses_writes": True}, ["lost"]),
+        ({"duplicates_writes": True}, ["duplicated"]),
+        ({"refuses_after_write": True}, ["ran_although_refused"]),
+        ({"hides_last_rows": True}, ["own_writes_missed", "stale_strict_reads"]),
     ],
 )
-async def test_a_database_that_breaks_a_promise_is_found(
+async def test_a_violated_guarantee_is_detected(
     fault: dict[str, Any], fields: list[str]
 ) -> None:
-    """Guards against a tool that reports success whatever happens."""
+    """Guards against a load tool that reports success in spite of violations."""
     _, judgement = await _run(FakeDatabase(**fault))
     assert not judgement.is_clean
     assert all(getattr(judgement, field) for field in fields)
 
 
-async def test_receipts_without_an_answer_are_repeated_under_their_identifier() -> None:
+async def test_receipts_without_a_response_are_retried_with_their_request_id() -> None:
     database = FakeDatabase(drops_receipts=3)
     result, judgement = await _run(database)
     assert judgement.is_clean
     assert result.lost_connections == 3
-    sent = [sql for sql in database.seen if "request_id" in sql]
+    sent = [sql for sql in database.statements if "request_id" in sql]
     assert len(sent) == len(set(sent)) + 3
 
 
@@ -169,19 +169,21 @@
     result, judgement = await _run(database, roaming)
     assert judgement.is_clean
     assert result.moves > 5
-    carried = [sql for sql in database.seen if "session=TOKEN" in sql]
+    carried = [sql for sql in database.statements if "session=TOKEN" in sql]
     assert bool(carried) is (carrier == "comment")
     assert len(database.tokens) == (result.moves if carrier == "attribute" else 0)
 
 
-async def test_an_address_without_a_server_is_reported_not_raised() -> None:
+async def test_an_address_without_a_server_is_reported_as_no_connection() -> None:
     result = await run_experiment(SHORT, TargetList(("127.0.0.1:1",)))
-    assert {sample.told for sample in result.samples} == {Told.NOT_CONNECTED}
+    assert {sample.client_outcome for sample in result.samples} == {
+        ClientOutcome.NOT_CONNECTED
+    }
     assert result.judgement is None
 
 
 async def test_the_pass_through_changes_nothing() -> None:
-    """Guards rows with NULL, errors, and statements without rows."""
+    """Covers non-ASCII rows, errors and statements without rows."""
     database = FakeDatabase()
     async with _serving(database) as port:
         server = await start_passthrough(Target("127.0.0.1", port, "u", ""))
@@ -192,7 +194,7 @@
         assert cursor.description is None
         await cursor.execute("SELECT marker FROM bench_booking WHERE marker = 'æ'")
         assert await cursor.fetchall() == (("æ",),)
-        database.lies = True
+        database.refuses_after_write = True
         with pytest.raises(pymysql.err.MySQLError) as caught:
             await cursor.execute("INSERT INTO bench_booking VALUES ('o', 'b')")
         assert caught.value.args[0] == ErrorCode.NOT_SUPPORTED_YET
