--- a/src/radishtrack_standins/bench.py
+++ b/src/radishtrack_standins/bench.py
@@ -1,7 +1,7 @@
-"""Runs the load experiments on deployments of its own, with baselines in the same run.
+"""Runs the load experiments and their baselines, each on a new deployment.
 
-``python -m radishtrack_standins.bench [--factor 0.5] [--out out/bench]`` writes one
-report and plots for each run, and a table of all.
+``python -m radishtrack_standins.bench [--factor 0.5] [--out out/bench]`` writes a
+report and plots for each run, and a table of all runs.
 """
 
 from __future__ import annotations
@@ -31,13 +31,15 @@
 PASS_THROUGH: Final = "plain pass-through"
 EXPERIMENTS: Final = Path("experiments")
 SETTLE_S: Final = 4.0
-_TIMES: Final = re.compile(r"^(duration_s|at_s|start_s|end_s) = ([0-9.]+)$", re.M)
+_TIME_SETTING: Final = re.compile(
+    r"^(duration_s|at_s|start_s|end_s) = ([0-9.]+)$", re.M
+)
 _ZONES: Final = ("oslo-a", "oslo-b", "hamar-c", "oslo-a")
 
 
 @attrs.define(frozen=True)
 class Run:
-    """One experiment through one kind of access."""
+    """One experiment with one way of access to the database."""
 
     experiment: str
     access: str
@@ -55,7 +57,7 @@
 
 @attrs.define
 class Options:
-    """Command line."""
+    """Options of the command line, and the processes started for a run."""
 
     factor: float
     out: Path
@@ -65,13 +67,13 @@
 
 
 def run_one(run: Run, options: Options) -> dict[str, Any]:
-    """Run an experiment in a deployment of its own and return its measures."""
+    """Run an experiment on a new deployment and return its measures."""
     text = (EXPERIMENTS / f"{run.experiment}.toml").read_text()
-    text = _TIMES.sub(
-        lambda found: f"{found[1]} = {float(found[2]) * options.factor:.1f}", text
+    text = _TIME_SETTING.sub(
+        lambda match: f"{match[1]} = {float(match[2]) * options.factor:.1f}", text
     )
-    content = tomllib.loads(text)
-    cluster = start_cluster(make_plan(content))
+    experiment = tomllib.loads(text)
+    cluster = start_cluster(make_plan(experiment))
     out = options.out / f"{run.experiment}-{run.access.replace(' ', '-')}"
     out.mkdir(parents=True, exist_ok=True)
     try:
@@ -88,8 +90,8 @@
 
 
 def run_tool(out: Path, run: Run) -> dict[str, Any]:
-    """Run the load tool in a process of its own."""
-    done = subprocess.run(
+    """Run the load tool in a new process and return its measures."""
+    result = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -105,29 +107,29 @@
         text=True,
         check=False,
     )
-    (out / "log.txt").write_text(done.stdout + done.stderr)
-    found = out / f"{run.experiment}.json"
-    if not found.exists():
-        raise RuntimeError(f"{run}: {done.stderr[-2000:]}")
-    measures: dict[str, Any] = json.loads(found.read_text())
-    measures["exit_code"] = done.returncode
+    (out / "log.txt").write_text(result.stdout + result.stderr)
+    report = out / f"{run.experiment}.json"
+    if not report.exists():
+        raise RuntimeError(f"{run}: {result.stderr[-2000:]}")
+    measures: dict[str, Any] = json.loads(report.read_text())
+    measures["exit_code"] = result.returncode
     return measures
 
 
-def make_plan(content: dict[str, Any]) -> ClusterPlan:
-    """Return a deployment with the experiment's organisations and four proxies."""
+def make_plan(experiment: dict[str, Any]) -> ClusterPlan:
+    """Return a plan with the experiment's organisations and four proxies."""
     return ClusterPlan(
         zones=_ZONES,
-        database=content["database"],
+        database=experiment["database"],
         organisations=tuple(
-            (part["name"], part["limit_per_s"], part["burst"])
-            for part in content["organisations"]
+            (organisation["name"], organisation["limit_per_s"], organisation["burst"])
+            for organisation in experiment["organisations"]
         ),
     )
 
 
 def make_targets(cluster: Cluster, run: Run, options: Options) -> str:
-    """Return the targets of the load tool for one kind of access."""
+    """Return the targets of the load tool for one run as TOML."""
     primary = cluster.members[cluster.primary()].ports["port"]
     names = list(cluster.members)
     pids = {name: member.process.pid for name, member in cluster.members.items()}
@@ -176,7 +178,7 @@
 
 
 def start_pass_through(port: int) -> tuple[subprocess.Popen[bytes], str]:
-    """Start the plain pass-through in front of one member."""
+    """Start the pass-through for one member; return its process and address."""
     (listen,) = find_free_ports(1)
     process = subprocess.Popen(
         [
@@ -204,19 +206,19 @@
         " | refused within rate | beyond rate | unknown | lost | doubled | stale |",
         "|---|---|---|---|---|---|---|---|---|---|---|",
     ]
-    for run, found in results:
-        stale = found["stale_strict_reads"] + found["own_writes_missed"]
+    for run, measures in results:
+        stale = measures["stale_strict_reads"] + measures["own_writes_missed"]
         cells = [
             run.experiment,
             run.access,
-            _format(found["replica_share_median"]),
-            _format(found["service_gap_worst_s"]),
-            f"{found['worst_share']:.2f} ({found['worst_organisation']})",
-            found["refused_within_rate"],
-            found["excess"],
-            found["unknown_outcomes"],
-            found["lost"],
-            found["duplicated"],
+            _format(measures["replica_share_median"]),
+            _format(measures["service_gap_worst_s"]),
+            f"{measures['worst_share']:.2f} ({measures['worst_organisation']})",
+            measures["refused_within_rate"],
+            measures["excess"],
+            measures["unknown_outcomes"],
+            measures["lost"],
+            measures["duplicated"],
             stale,
         ]
         lines.append("| " + " | ".join(map(str, cells)) + " |")
@@ -228,7 +230,7 @@
 
 
 def main() -> int:
-    """Run the experiments and write the table."""
+    """Run the experiments and write the table; return the exit status."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--factor", type=float, default=0.4, help="scales all times")
     parser.add_argument("--out", type=Path, default=Path("out/bench"))
@@ -245,10 +247,12 @@
     table = format_table(results)
     (options.out / "table.md").write_text(table)
     print(table)
-    broken = [
-        run for run, found in results if run.access == PROXIES and found["exit_code"]
+    failed = [
+        run
+        for run, measures in results
+        if run.access == PROXIES and measures["exit_code"]
     ]
-    return 1 if broken else 0
+    return 1 if failed else 0
 
 
 if __name__ == "__main__":
--- a/src/radishtrack_standins/demo.py
+++ b/src/radishtrack_standins/demo.py
@@ -1,6 +1,7 @@
-"""The demonstration: two organisations work through two proxies while a primary dies.
+"""Demonstration: clients of two organisations use two proxies during a failover.
 
-It exits with 0 only if the callers' own ledger agrees with the database's rows.
+The primary is killed during the run. The exit status is 0 only if the ledger of the
+clients agrees with the rows of the database.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 @attrs.define
 class Ledger:
-    """What the callers were told."""
+    """Client outcomes of all requests."""
 
     acknowledged: set[str] = attrs.field(factory=set)
     unknown: set[str] = attrs.field(factory=set)
@@ -40,8 +41,8 @@
 
 
 @attrs.define
-class Caller:
-    """One caller with an ordinary driver; reconnects to the other proxy on errors."""
+class Client:
+    """A client with an ordinary driver; reconnects to the other proxy on errors."""
 
     cluster: Cluster
     organisation: str
@@ -52,7 +53,7 @@
     attempts: int = 0
 
     async def connect(self) -> Any:
-        """Return a connection that carries the session's position."""
+        """Return the open connection, or connect to the next proxy."""
         if self.connection is None:
             proxies = self.cluster.proxies
             proxy = proxies[(self.number + self.attempts) % len(proxies)]
@@ -68,7 +69,7 @@
         return self.connection
 
     async def run(self, kind: str, statement: str) -> tuple[str, tuple[Any, ...]]:
-        """Run a statement; return the outcome and the rows."""
+        """Run a statement; return its outcome and rows."""
         try:
             connection = await self.connect()
             async with connection.cursor() as cursor:
@@ -79,35 +80,35 @@
             outcome = "refused" if code in REFUSED_CODES else "error"
             outcome = "unknown" if code == UNKNOWN_CODE else outcome
             if outcome == "error":
-                self.drop()
+                self.disconnect()
             self.ledger.outcomes[self.organisation, kind, f"{outcome} {code}"] += 1
             self.ledger.messages[str(error.args[-1])] += 1
             return outcome, ()
         self.ledger.outcomes[self.organisation, kind, "ok"] += 1
         return "ok", rows
 
-    def drop(self) -> None:
-        """Close the connection; the next statement opens one at the other proxy."""
+    def disconnect(self) -> None:
+        """Close the connection; the next statement connects to the other proxy."""
         if self.connection is not None:
             self.connection.close()
             self.connection = None
 
-    async def roam(self) -> None:
-        """Move the session to the other proxy with its token."""
+    async def close_with_token(self) -> None:
+        """Request the session token, then disconnect to move to the other proxy."""
         outcome, rows = await self.run("session token", "SHOW RADISHTRACK SESSION")
         if outcome == "ok":
             self.token = rows[0][0]
-        self.drop()
+        self.disconnect()
 
 
-async def book(caller: Caller, number: int) -> None:
-    """Book an order, read it back elsewhere, post its receipt."""
-    ledger = caller.ledger
-    order = f"{caller.organisation}-{caller.number}-{number}"
-    outcome, _ = await caller.run(
+async def book_order(client: Client, number: int) -> None:
+    """Insert an order, read it through the other proxy and insert its receipt."""
+    ledger = client.ledger
+    order = f"{client.organisation}-{client.number}-{number}"
+    outcome, _ = await client.run(
         "booking",
         f"INSERT INTO orders (id, organisation) "
-        f"VALUES ('{order}', '{caller.organisation}')",
+        f"VALUES ('{order}', '{client.organisation}')",
     )
     if outcome == "ok":
         ledger.acknowledged.add(order)
@@ -118,8 +119,8 @@
     else:
         ledger.unknown.add(order)
         return
-    await caller.roam()
-    read = f"/*radishtrack session={caller.token}*/ SELECT id FROM orders "
+    await client.close_with_token()
+    read = f"/*radishtrack session={client.token}*/ SELECT id FROM orders "
     for kind, statement in (
         ("session read", f"{read}WHERE id = '{order}'"),
         (
@@ -127,10 +128,10 @@
             f"/*radishtrack class=strict*/ SELECT id FROM orders WHERE id = '{order}'",
         ),
     ):
-        outcome, rows = await caller.run(kind, statement)
+        outcome, rows = await client.run(kind, statement)
         if outcome == "ok" and len(rows) != 1:
             ledger.stale.append(f"{kind} of {order}")
-    await caller.run(
+    await client.run(
         "aged read",
         "/*radishtrack class=aged max_age_ms=3000*/ SELECT COUNT(*) FROM orders",
     )
@@ -138,27 +139,27 @@
         f"/*radishtrack request_id=receipt-{order}*/ "
         f"INSERT INTO receipts (order_id) VALUES ('{order}')"
     )
-    for _ in range(2):  # The second posting must not run again.
-        outcome, _ = await caller.run("receipt", receipt)
+    for _ in range(2):  # A repeated request must not run again.
+        outcome, _ = await client.run("receipt", receipt)
         if outcome == "ok":
             ledger.receipts[order] = 1
 
 
-async def work(caller: Caller, end: float) -> None:
-    """Book orders until the end."""
+async def book_until(client: Client, end: float) -> None:
+    """Insert orders until `end` on the monotonic clock."""
     number = 0
     while time.monotonic() < end:
         number += 1
-        await book(caller, number)
+        await book_order(client, number)
         await asyncio.sleep(0.03)
-    caller.drop()
+    client.disconnect()
 
 
 async def run_demo(cluster: Cluster) -> bool:
-    """Run the callers and the fault; print the tables; return the verdict."""
+    """Run the clients, kill the primary, and return whether the ledger agrees."""
     ledger = Ledger()
     names = [name for name, _, _ in cluster.plan.organisations]
-    owner = Caller(cluster, names[0], 0, ledger)
+    owner = Client(cluster, names[0], 0, ledger)
     for statement in (
         "CREATE TABLE orders (id VARCHAR(64) PRIMARY KEY, organisation VARCHAR(64))",
         "CREATE TABLE receipts (id INTEGER PRIMARY KEY AUTO_INCREMENT, "
@@ -166,14 +167,16 @@
     ):
         outcome, _ = await owner.run("definition", statement)
         if outcome != "ok":
-            print(f"definition failed: {outcome}")
+            print(f"creating the tables failed: {outcome}")
             return False
-    owner.drop()
+    owner.disconnect()
     start = time.monotonic()
-    callers = [
-        Caller(cluster, name, number, ledger) for name in names for number in range(4)
+    clients = [
+        Client(cluster, name, number, ledger) for name in names for number in range(4)
+    ]
+    tasks = [
+        asyncio.create_task(book_until(client, start + RUN_S)) for client in clients
     ]
-    tasks = [asyncio.create_task(work(caller, start + RUN_S)) for caller in callers]
     await asyncio.sleep(KILL_AT_S)
     killed = cluster.primary()
     killed_at = time.monotonic()
@@ -183,17 +186,19 @@
 
 
 def judge(cluster: Cluster, ledger: Ledger, killed: str, killed_at: float) -> bool:
-    """Compare the ledger with the rows of the present primary and print both."""
+    """Compare the ledger with the rows of the new primary and print the result."""
     record = cluster.get_record()
     rows = {str(row[0]) for row in cluster.read_rows(record["primary"], "orders")}
-    posted = Counter(
+    receipt_counts = Counter(
         str(row[1]) for row in cluster.read_rows(record["primary"], "receipts")
     )
     findings = {
         "acknowledged but missing": ledger.acknowledged - rows,
         "refused as not run but present": ledger.not_run & rows,
-        "acknowledged receipt missing": ledger.receipts.keys() - posted.keys(),
-        "receipt posted twice": {name for name, count in posted.items() if count > 1},
+        "acknowledged receipt missing": ledger.receipts.keys() - receipt_counts.keys(),
+        "receipt posted twice": {
+            name for name, count in receipt_counts.items() if count > 1
+        },
         "stale reads": set(ledger.stale),
     }
     gap_ms = compute_gap_ms(ledger.success_times, killed_at)
@@ -208,7 +213,7 @@
     for name, found in findings.items():
         print(f"{name}: {len(found)} {sorted(found)[:3] if found else ''}")
     for text, count in ledger.messages.most_common(3):
-        print(f"{count} answers: {text}")
+        print(f"{count} responses: {text}")
     ok = not any(findings.values()) and gap_ms < FAILOVER_LIMIT_MS
     ok = ok and record["primary"] != killed and len(ledger.acknowledged) > 100
     print("ledger and rows agree" if ok else "FAILED")
@@ -216,15 +221,15 @@
 
 
 def compute_gap_ms(success_times: list[float], since: float) -> float:
-    """Return the longest time without a success from `since` on, in milliseconds."""
-    moments = [since, *sorted(moment for moment in success_times if moment > since)]
-    if len(moments) == 1:
+    """Return the longest time between successes from `since` on, in milliseconds."""
+    times_s = [since, *sorted(time_s for time_s in success_times if time_s > since)]
+    if len(times_s) == 1:
         return float("inf")
-    return 1000 * max(later - earlier for earlier, later in itertools.pairwise(moments))
+    return 1000 * max(later - earlier for earlier, later in itertools.pairwise(times_s))
 
 
 def main() -> int:
-    """Run the demonstration and return the exit code."""
+    """Run the demonstration and return the exit status."""
     cluster = start_cluster(ClusterPlan())
     try:
         return 0 if asyncio.run(run_demo(cluster)) else 1
