--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -28,7 +28,7 @@
 REPEATS: Final = 5
 CONNECTIONS: Final = 16
 DEADLINE_MS: Final = 1e9
-ARRIVAL_MS: Final = 0.05
+INTERVAL_MS: Final = 0.05
 
 
 def make_shares(count: int) -> list[ShareState]:
@@ -37,8 +37,8 @@
     return [make_share_state(f"org{i}", "holder", limit, 0.0) for i in range(count)]
 
 
-def answer(request: TokenRequest) -> TokenGrant:
-    """Return a grant in full."""
+def make_grant(request: TokenRequest) -> TokenGrant:
+    """Return a grant of all requested tokens."""
     return TokenGrant(
         request.organisation,
         request.holder,
@@ -50,43 +50,43 @@
 
 
 def run_admitted(count: int) -> float:
-    """Admit, run and finish; includes token requests. Microseconds a decision."""
+    """Return microseconds per admitted statement, including token requests."""
     shares = make_shares(count)
     queue = make_fair_queue(CONNECTIONS)
     queue.set_weights({share.organisation: 1_000.0 for share in shares})
     now_ms = 0.0
     begin = time.perf_counter_ns()
     for index in range(DECISIONS):
-        now_ms += ARRIVAL_MS
+        now_ms += INTERVAL_MS
         share = shares[index % count]
         decision = decide_admission(share, queue, now_ms, DEADLINE_MS)
         if isinstance(decision, AwaitTokens) and decision.request is not None:
-            share.on_grant(answer(decision.request), now_ms)
+            share.on_grant(make_grant(decision.request), now_ms)
             decision = decide_admission(
                 share, queue, now_ms, DEADLINE_MS, is_retry=True
             )
         assert isinstance(decision, Proceed)
         if decision.request is not None:
-            share.on_grant(answer(decision.request), now_ms)
+            share.on_grant(make_grant(decision.request), now_ms)
         assert isinstance(queue.offer(share.organisation, now_ms, DEADLINE_MS), Started)
         queue.finish(share.organisation, 1.0)
     return (time.perf_counter_ns() - begin) / DECISIONS / 1_000
 
 
 def run_refused(count: int) -> float:
-    """Decide while each organisation is over its rate. Microseconds a decision."""
+    """Return microseconds per decision while each organisation is over its rate."""
     shares = make_shares(count)
     queue = make_fair_queue(CONNECTIONS)
     for share in shares:
         share.refused_until_ms = DEADLINE_MS
     begin = time.perf_counter_ns()
     for index in range(DECISIONS):
-        decide_admission(shares[index % count], queue, index * ARRIVAL_MS, DEADLINE_MS)
+        decide_admission(shares[index % count], queue, index * INTERVAL_MS, DEADLINE_MS)
     return (time.perf_counter_ns() - begin) / DECISIONS / 1_000
 
 
 def run_queued(count: int) -> float:
-    """Queue, start and finish with waiting requests of every organisation."""
+    """Return microseconds per queued statement; all organisations have waiting ones."""
     queue = make_fair_queue(CONNECTIONS)
     names = [f"org{index}" for index in range(count)]
     queue.set_weights(dict.fromkeys(names, 1_000.0))
@@ -97,7 +97,7 @@
         assert isinstance(queue.offer(name, 0.0, DEADLINE_MS), Queued)
     begin = time.perf_counter_ns()
     for index in range(DECISIONS):
-        now_ms = index * ARRIVAL_MS
+        now_ms = index * INTERVAL_MS
         queue.offer(names[index % count], now_ms, DEADLINE_MS)
         queue.finish(running[index % CONNECTIONS], 1.0)
         waiter = queue.next_waiter(now_ms)
@@ -107,30 +107,30 @@
 
 
 def measure_memory(count: int) -> float:
-    """Return bytes per organisation of shares, weights and one waiting request."""
+    """Return bytes per organisation for its share, weight and one waiting request."""
 
     def build() -> tuple[list[ShareState], FairQueue]:
         shares = make_shares(count)
         queue = make_fair_queue(CONNECTIONS)
         queue.set_weights({share.organisation: 1_000.0 for share in shares})
         for share in shares:
-            admission = share.make_request(0.0, 10)
-            share.on_grant(answer(admission), 0.0)
+            request = share.make_request(0.0, 10)
+            share.on_grant(make_grant(request), 0.0)
         for share in shares:
             queue.offer(share.organisation, 0.0, DEADLINE_MS)
         return shares, queue
 
     gc.collect()
     tracemalloc.start()
-    kept = build()
+    state = build()
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
+    del state
     return used / count
 
 
 def main() -> None:
-    """Print one line for each measurement: the median of the repeats."""
+    """Print one line for each measurement, with the median and range of the repeats."""
     runs: dict[str, Callable[[int], float]] = {
         "admitted": run_admitted,
         "refused": run_refused,
@@ -138,14 +138,14 @@
     }
     for count in ORGANISATIONS:
         for name, run in runs.items():
-            figures = [run(count) for _ in range(REPEATS)]
+            costs_us = [run(count) for _ in range(REPEATS)]
             line = {
                 "benchmark": name,
                 "organisations": count,
                 "decisions": DECISIONS,
-                "microseconds_median": round(statistics.median(figures), 2),
-                "microseconds_least": round(min(figures), 2),
-                "microseconds_most": round(max(figures), 2),
+                "microseconds_median": round(statistics.median(costs_us), 2),
+                "microseconds_least": round(min(costs_us), 2),
+                "microseconds_most": round(max(costs_us), 2),
             }
             print(json.dumps(line))
         line = {
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -33,18 +33,18 @@
 
 
 def make_statements(organisations: int, databases: int) -> list[tuple[str, str]]:
-    """Return (database, statement) pairs as clients would send them."""
-    chance = random.Random(SEED)
+    """Return pairs of database and statement, in a random mix of four kinds."""
+    rng = random.Random(SEED)
     statements = []
     for number in range(STATEMENTS):
-        organisation = chance.randrange(organisations)
-        database = f"database-{chance.randrange(databases)}"
-        statements.append((database, _make_statement(chance, number, organisation)))
+        organisation = rng.randrange(organisations)
+        database = f"database-{rng.randrange(databases)}"
+        statements.append((database, _make_statement(rng, number, organisation)))
     return statements
 
 
-def _make_statement(chance: random.Random, number: int, organisation: int) -> str:
-    kind = chance.randrange(4)
+def _make_statement(rng: random.Random, number: int, organisation: int) -> str:
+    kind = rng.randrange(4)
     if kind == 0:
         return (
             f"/*radishtrack class=strict*/ SELECT id, state, promised FROM booking "
@@ -67,7 +67,7 @@
 
 
 def make_groups(databases: int) -> dict[str, tuple[Group, dict[str, MemberStatus]]]:
-    """Return group records and member statuses, three members each."""
+    """Return the group and member statuses of each database, with three members."""
     groups = {}
     for number in range(databases):
         names = tuple(f"member-{number}-{index}" for index in range(3))
@@ -89,7 +89,7 @@
 def make_decider(
     databases: int, classify: Callable[[str], Statement]
 ) -> Callable[[str, str], object]:
-    """Return the whole decision for one statement."""
+    """Return a function that makes all decisions on one statement."""
     groups = make_groups(databases)
     route = RouteClass()
     position = Position(2, 90)
@@ -100,21 +100,23 @@
         if statement.kind is not Kind.READ:
             return statement
         group, statuses = groups[database]
-        effective = resolve_read_class(options, route, True, False)
+        read_class = resolve_read_class(options, route, True, False)
         ages_ms = dict.fromkeys(statuses, 10.0)
-        return choose_member(ReadRequest(effective, group, statuses, position, ages_ms))
+        return choose_member(
+            ReadRequest(read_class, group, statuses, position, ages_ms)
+        )
 
     return decide
 
 
 def measure_cached(organisations: int, databases: int) -> dict[str, object]:
-    """Measure statements whose forms are cached."""
+    """Measure statements whose forms are in the classifier's cache."""
     statements = make_statements(organisations, databases)
     decide = make_decider(databases, make_classifier())
     for database, sql in statements[:100]:
         decide(database, sql)
     passes = [_time_pass(decide, statements) for _ in range(REPEATS)]
-    samples = sorted(sample for one in passes for sample in one)
+    samples = sorted(sample for one_pass in passes for sample in one_pass)
     return {
         "case": "cached",
         "organisations": organisations,
@@ -133,8 +135,8 @@
     for database, sql in statements:
         begin = time.perf_counter_ns()
         decide(database, sql)
-        elapsed = time.perf_counter_ns() - begin
-        samples.append(elapsed / NANOSECONDS_PER_MICROSECOND)
+        elapsed_ns = time.perf_counter_ns() - begin
+        samples.append(elapsed_ns / NANOSECONDS_PER_MICROSECOND)
     return samples
 
 
@@ -147,7 +149,7 @@
 
 
 def measure_miss() -> dict[str, object]:
-    """Measure statements of forms seen for the first time, and memory per form."""
+    """Measure statements whose forms are not cached, and memory per cached form."""
     classify = make_classifier()
     statements = list(_iterate_new_forms())
     classify("SELECT 1")
@@ -156,18 +158,18 @@
         begin = time.perf_counter_ns()
         classify(sql)
         samples.append((time.perf_counter_ns() - begin) / NANOSECONDS_PER_MICROSECOND)
-    fresh = make_classifier()
+    traced_classify = make_classifier()
     tracemalloc.start()
-    before, _ = tracemalloc.get_traced_memory()
+    before_bytes, _ = tracemalloc.get_traced_memory()
     for sql in statements:
-        fresh(sql)
-    after, _ = tracemalloc.get_traced_memory()
+        traced_classify(sql)
+    after_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return {
         "case": "miss",
         "mean_us": round(statistics.fmean(samples), 1),
         "p99_us": round(sorted(samples)[len(samples) * 99 // 100], 1),
-        "bytes_per_form": round((after - before) / len(statements)),
+        "bytes_per_form": round((after_bytes - before_bytes) / len(statements)),
         "form_characters": len(statements[0]),
         "samples": len(samples),
     }
--- a/benchmarks/pooler_decisions.py
+++ b/benchmarks/pooler_decisions.py
@@ -1,4 +1,4 @@
-"""Cost of the pooler's decisions for one statement, by organisations and databases.
+"""CPU time of the pooler's decisions on one statement, by number of objects.
 
 Run: PYTHONPATH=src .venv/bin/python benchmarks/pooler_decisions.py
 """
@@ -29,11 +29,11 @@
 ROUNDS = 20_000
 NODES = 4
 SIZES = ((8, 3), (8, 710), (1_000, 3), (1_000, 710))
-"""Organisations and databases."""
+"""Numbers of organisations and databases."""
 
 
 def make_access(name: str, time: ManualTime) -> GroupAccess:
-    """Return a group with three members and four seconds of evidence."""
+    """Return a group of three members with 40 rounds of reports."""
     clock = make_manual_clock(time)
     access = make_group_access(name, "a", clock, None)  # type: ignore[arg-type]
     access.configure(GroupSettings(name, 16, 1), NODES)
@@ -55,7 +55,7 @@
 
 
 def make_catalog(organisations: int, databases: int) -> Catalog:
-    """Return a configuration of a size."""
+    """Return a configuration with these numbers of organisations and databases."""
     owners = [Organisation(f"o{n}", 1e9, 1e9) for n in range(organisations)]
     routes = {
         f"d{n}": Route(f"d{n}", f"g{n}", ReadClass.SESSION, 2_500, 800, 200, 2, False)
@@ -66,10 +66,10 @@
 
 
 def measure(organisations: int, databases: int) -> float:
-    """Return the cost of all decisions on one read in microseconds."""
+    """Return microseconds for all decisions on one read."""
     time = ManualTime(1_000.0)
     catalog = make_catalog(organisations, databases)
-    # Each group keeps the same state, so a few of them stand for all.
+    # All groups have the same state, so a sample of them is enough.
     sampled = range(min(databases, 20))
     groups = {f"g{n}": make_access(f"g{n}", ManualTime(1_000.0)) for n in sampled}
     limiter = RateLimiter()
@@ -96,7 +96,7 @@
 
 
 if __name__ == "__main__":
-    print("organisations databases   us a statement")
+    print("organisations databases us per statement")
     for organisations, databases in SIZES:
         cost_us = measure(organisations, databases)
         print(f"{organisations:13} {databases:9} {cost_us:16.1f}")
--- a/benchmarks/statement_cost.py
+++ b/benchmarks/statement_cost.py
@@ -1,8 +1,8 @@
-"""Measure the processor time of one statement in the proxy and in a pass-through.
+"""Measure the CPU time of one statement in the proxy and in a pass-through.
 
-One proxy that is itself the holder runs before three stand-in members. Clients send
-one statement after the other; the processor time of the proxy process is read before
-and after. Prints a JSON line for each kind of statement and number of clients.
+One proxy, which holds the only slot, runs in front of three stand-in members. Each
+client sends one statement after another; the CPU time of the proxy process is read
+before and after. Prints a JSON line for each kind of statement and number of clients.
 
 Run from the repository root: PYTHONPATH=src python benchmarks/statement_cost.py
 """
@@ -35,10 +35,10 @@
 WARM_UP_STATEMENTS: Final = 20
 START_TIMEOUT_S: Final = 10.0
 MEMBER_CONNECTIONS: Final = 48
-"""Enough for the pool of the proxy and the clients of the pass-through together."""
+"""Enough for the proxy's pool and the clients of the pass-through together."""
 RATE: Final = 1_000_000.0
 TICKS_PER_S: Final = os.sysconf("SC_CLK_TCK")
-MICROSECONDS: Final = 1_000_000
+MICROSECONDS_PER_S: Final = 1_000_000
 
 READ: Final = "SELECT id, state FROM orders WHERE id = 1"
 WRITE: Final = "UPDATE orders SET state = 'tended' WHERE id = 1"
@@ -53,7 +53,7 @@
 
 @attrs.define(frozen=True)
 class Server:
-    """A process that serves clients."""
+    """A server process and the login of its clients."""
 
     name: str
     pid: int
@@ -65,14 +65,14 @@
 
 @attrs.define(frozen=True)
 class Sample:
-    """The cost of the statements of one run."""
+    """CPU time per statement in one run, and the number of its statements."""
 
-    microseconds: float
+    cpu_us: float
     statements: int
 
 
-def read_processor_s(pid: int) -> float:
-    """Return the processor time that a process has used, in seconds."""
+def read_cpu_s(pid: int) -> float:
+    """Return the user and system time of a process in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
@@ -107,7 +107,7 @@
 
 
 async def measure(server: Server, statement: str, clients: int, run_s: float) -> Sample:
-    """Run one closed loop for each client and return the cost of a statement."""
+    """Run one closed loop per client; return the CPU time per statement."""
     connections = [await connect(server) for _ in range(clients)]
     count = 0
     end_s = 0.0
@@ -119,17 +119,17 @@
             count += 1
 
     for connection in connections:
-        # The write gives the session a position; both warm the caches.
+        # The write gives the session a position; both fill the caches.
         await run_statement(connection, WRITE)
         for _ in range(WARM_UP_STATEMENTS // clients):
             await run_statement(connection, statement)
-    before_s = read_processor_s(server.pid)
+    cpu_before_s = read_cpu_s(server.pid)
     end_s = time.monotonic() + run_s
     await asyncio.gather(*(loop(connection) for connection in connections))
-    used_s = read_processor_s(server.pid) - before_s
+    cpu_s = read_cpu_s(server.pid) - cpu_before_s
     for connection in connections:
         connection.close()
-    return Sample(used_s * MICROSECONDS / count, count)
+    return Sample(cpu_s * MICROSECONDS_PER_S / count, count)
 
 
 @contextmanager
@@ -148,24 +148,24 @@
         )
         try:
             end_s = time.monotonic() + START_TIMEOUT_S
-            found = None
-            while found is None:
+            match = None
+            while match is None:
                 if time.monotonic() > end_s or process.poll() is not None:
-                    raise RuntimeError("the pass-through did not start")
+                    raise RuntimeError("pass-through exited or printed no port in time")
                 time.sleep(0.05)
                 output.seek(0)
-                found = re.search(r"port=(\d+)", output.read())
-            yield Server("passthrough", process.pid, int(found[1]), "plain", "", None)
+                match = re.search(r"port=(\d+)", output.read())
+            yield Server("passthrough", process.pid, int(match[1]), "plain", "", None)
         finally:
             process.terminate()
             process.wait(5)
 
 
-def report(
+def make_line(
     server: Server, kind: str, clients: int, samples: list[Sample]
 ) -> dict[str, object]:
     """Return the JSON line of one kind of statement."""
-    costs = [sample.microseconds for sample in samples]
+    costs = [sample.cpu_us for sample in samples]
     return {
         "server": server.name,
         "statement": kind,
@@ -190,7 +190,7 @@
         stack.callback(cluster.close)
         proxy = cluster.proxies[0]
         assert proxy.process is not None
-        served = Server(
+        proxied = Server(
             "proxy",
             proxy.process.pid,
             proxy.client_port,
@@ -198,18 +198,21 @@
             cluster.keys["verksted"],
             plan.database,
         )
-        asyncio.run(prepare_table(served))
-        plain = stack.enter_context(start_passthrough(cluster))
+        asyncio.run(prepare_table(proxied))
+        passthrough = stack.enter_context(start_passthrough(cluster))
         for clients in options.clients:
             for kind in options.kinds:
-                samples: dict[Server, list[Sample]] = {plain: [], served: []}
+                samples: dict[Server, list[Sample]] = {passthrough: [], proxied: []}
                 for _ in range(REPEATS):
-                    for server, taken in samples.items():
-                        text = (PLAIN if server is plain else STATEMENTS)[kind]
+                    for server, results in samples.items():
+                        text = (PLAIN if server is passthrough else STATEMENTS)[kind]
                         sample = measure(server, text, clients, options.run_s)
-                        taken.append(asyncio.run(sample))
-                for server, taken in samples.items():
-                    print(json.dumps(report(server, kind, clients, taken)), flush=True)
+                        results.append(asyncio.run(sample))
+                for server, results in samples.items():
+                    print(
+                        json.dumps(make_line(server, kind, clients, results)),
+                        flush=True,
+                    )
 
 
 def main() -> None:
