--- a/benchmarks/capacity/budget.py
+++ b/benchmarks/capacity/budget.py
@@ -1,7 +1,7 @@
-"""Works out the budgets at the target scale from the measured lines.
+"""Computes the resource budgets at the target scale from the measurements.
 
 Run as ``python benchmarks/capacity/budget.py FILE`` on the output of ``make capacity``;
-prints one JSON line for each role and budget.
+prints one JSON line for each budget.
 """
 
 from __future__ import annotations
@@ -20,24 +20,24 @@
 from radishtrack.rates.lease import RENEW_AFTER_MS
 from radishtrack.usage.report import REPORT_INTERVAL_MS
 
-CONNECTIONS_EACH: Final = 2_881
-STATEMENTS_EACH: Final = 2_540
-CHANGES_A_DAY: Final = 2_500
-STARTS_A_DAY: Final = 326
+CONNECTIONS_PER_NODE: Final = 2_881
+STATEMENTS_PER_S_PER_NODE: Final = 2_540
+CHANGES_PER_DAY: Final = 2_500
+STARTS_PER_DAY: Final = 326
 DAY_S: Final = 86_400
-NODES_A_REGION: Final = NODES / 2
-"""Regions are taken as equal; with three and two zones they are 354 and 236."""
+NODES_PER_REGION: Final = NODES / 2
+"""Assumes regions of equal size; with three and two zones they have 354 and 236."""
 
-DATABASES_A_REGION: Final = DATABASES / 2
-PAIRS_A_NODE: Final = ORGANISATIONS * SLOTS / NODES
-"""Organisation and holder, if each organisation uses one database."""
+DATABASES_PER_REGION: Final = DATABASES / 2
+PAIRS_PER_NODE: Final = ORGANISATIONS * SLOTS / NODES
+"""Pairs of organisation and holder, if each organisation uses one database."""
 
-MESSAGES_A_STATEMENT: Final = 2
-"""Of a forwarded statement without rows; gives the cost of one message."""
+MESSAGES_PER_STATEMENT: Final = 2
+"""Messages of a forwarded statement without rows, to derive the cost of one."""
 
 
 def read_lines(path: Path) -> list[dict[str, Any]]:
-    """Return the measured lines."""
+    """Return the JSON lines of a file."""
     return [
         json.loads(line)
         for line in path.read_text().splitlines()
@@ -45,162 +45,177 @@
     ]
 
 
-class Measured:
-    """Look-ups in the measured lines."""
+class Measurements:
+    """Look-up of measurements by name and fields."""
 
     def __init__(self, lines: list[dict[str, Any]]) -> None:
         self.lines = lines
 
     def find(self, measure: str, **fields: object) -> dict[str, Any]:
-        """Return the last line of a measure with these fields."""
-        found = [
+        """Return the last line of a measure with these fields, or raise LookupError."""
+        matches = [
             line
             for line in self.lines
             if line["measure"] == measure
             and all(line.get(name) == value for name, value in fields.items())
         ]
-        if not found:
-            raise LookupError(f"{measure} {fields}")
-        return found[-1]
+        if not matches:
+            raise LookupError(f"no measurement of {measure!r} with {fields}")
+        return matches[-1]
 
-    def slope(self, name: str) -> float:
-        """Return the slope of a fit."""
+    def get_slope(self, name: str) -> float:
+        """Return the slope of a linear fit."""
         return float(self.find(f"fit {name}")["slope"])
 
 
 def count_links() -> float:
-    """Return the links of a node: distinct preferred holders, both directions."""
-    drawn = NODES_A_REGION * -math.expm1(-DATABASES_A_REGION / NODES_A_REGION)
-    return 2 * drawn
+    """Return the expected number of peer links of a node.
+
+    A node has a link to each distinct preferred holder of its region's databases, and
+    as many links from others.
+    """
+    preferred_holders = NODES_PER_REGION * -math.expm1(
+        -DATABASES_PER_REGION / NODES_PER_REGION
+    )
+    return 2 * preferred_holders
 
 
-def sum_node_bytes(known: Measured, held: float, links: float) -> dict[str, float]:
-    """Return control bytes a second of a node by mechanism."""
-    change = known.find("configuration change at one node", databases=DATABASES)
-    start = known.find("configuration start of a node", databases=DATABASES)
-    watch = known.find("watch without changes")
-    tokens = known.find(
+def sum_node_bytes(
+    measured: Measurements, held: float, links: float
+) -> dict[str, float]:
+    """Return control bytes per second of a node by mechanism."""
+    change = measured.find("configuration change at one node", databases=DATABASES)
+    start = measured.find("configuration start of a node", databases=DATABASES)
+    watch = measured.find("watch without changes")
+    tokens = measured.find(
         "rate tokens of one organisation at one holder", holders=3, demand_per_s=1000.0
     )
-    vms = known.find("list of VMs", nodes=NODES)
-    token_rate = PAIRS_A_NODE * tokens["bytes_per_s"]["median"]
+    vms = measured.find("list of VMs", nodes=NODES)
+    token_bytes_per_s = PAIRS_PER_NODE * tokens["bytes_per_s"]["median"]
     return {
-        "status polls": held * known.slope("status bytes a second by databases held"),
+        "status polls": held
+        * measured.get_slope("status bytes a second by databases held"),
         "list of VMs": vms["bytes"] / VM_LIST_INTERVAL_S,
-        "rate tokens, as holder": token_rate,
-        "rate tokens, as allocator": token_rate,
-        "peer pings": links * known.slope("bytes a second by links, ping every 20 s"),
-        "configuration": CHANGES_A_DAY * change["bytes"]["median"] / DAY_S,
+        "rate tokens, as holder": token_bytes_per_s,
+        "rate tokens, as allocator": token_bytes_per_s,
+        "peer pings": links
+        * measured.get_slope("bytes a second by links, ping every 20 s"),
+        "configuration": CHANGES_PER_DAY * change["bytes"]["median"] / DAY_S,
         "watch without changes": watch["bytes_a_call"] * 1000 / DEFAULT_WATCH_MS,
-        "usage": PAIRS_A_NODE
-        * known.slope("usage bytes a second by organisations at the node"),
-        "starts": STARTS_A_DAY / NODES * start["bytes"] / DAY_S,
+        "usage": PAIRS_PER_NODE
+        * measured.get_slope("usage bytes a second by organisations at the node"),
+        "starts": STARTS_PER_DAY / NODES * start["bytes"] / DAY_S,
     }
 
 
-def sum_node_cpu(known: Measured, held: float, links: float) -> dict[str, float]:
-    """Return percent of a core of a node by mechanism."""
-    accept = known.find("configuration accept", databases=DATABASES)
-    vms = known.find("list of VMs", nodes=NODES)
-    reconcile = known.find("reconcile pass", nodes=NODES, databases=DATABASES)
-    tokens = known.find(
+def sum_node_cpu(measured: Measurements, held: float, links: float) -> dict[str, float]:
+    """Return percent of a core that a node uses, by mechanism."""
+    accept = measured.find("configuration accept", databases=DATABASES)
+    vms = measured.find("list of VMs", nodes=NODES)
+    reconcile = measured.find("reconcile pass", nodes=NODES, databases=DATABASES)
+    tokens = measured.find(
         "rate tokens of one organisation at one holder", holders=3, demand_per_s=1000.0
     )
     message_us = (
-        known.find("forwarded statement", rows=0, row_bytes=20)["cpu_us_both_ends"][
+        measured.find("forwarded statement", rows=0, row_bytes=20)["cpu_us_both_ends"][
             "median"
         ]
         / 2
-        / MESSAGES_A_STATEMENT
+        / MESSAGES_PER_STATEMENT
     )
-    messages = PAIRS_A_NODE * tokens["messages_per_s"]["median"]
-    requests = messages / 2
+    messages_per_s = PAIRS_PER_NODE * tokens["messages_per_s"]["median"]
+    requests_per_s = messages_per_s / 2
     return {
-        "status polls": held * known.slope("core percent by databases held"),
-        "idle process": known.find("node without clients", held=0)["core_percent"][
+        "status polls": held * measured.get_slope("core percent by databases held"),
+        "idle process": measured.find("node without clients", held=0)["core_percent"][
             "median"
         ],
         "reconcile": reconcile["cpu_us"]["median"] / RECONCILE_INTERVAL_S / 1e4,
         "list of VMs": vms["parse_cpu_us"]["median"] / VM_LIST_INTERVAL_S / 1e4,
         "peer pings": links
-        * known.slope("core percent by links, one end, ping every 20 s"),
-        "configuration": CHANGES_A_DAY
+        * measured.get_slope("core percent by links, one end, ping every 20 s"),
+        "configuration": CHANGES_PER_DAY
         * accept["change_cpu_us"]["median"]
         / DAY_S
         / 1e4,
         "rate tokens, messages of holder and allocator": 2
-        * messages
+        * messages_per_s
         * message_us
         / 1e4,
-        "rate tokens, allocator": requests
+        "rate tokens, allocator": requests_per_s
         * tokens["allocator_us_a_request"]["median"]
         / 1e4,
     }
 
 
-def sum_memory(known: Measured, links: float) -> dict[str, float]:
-    """Return megabytes of a node by state."""
-    accept = known.find("configuration accept", databases=DATABASES)
-    keys = known.find("keys", organisations=ORGANISATIONS)
-    place = known.find("placement build", nodes=NODES, databases=DATABASES)
-    slope = known.slope("node memory bytes by client connections")
+def sum_memory(measured: Measurements, links: float) -> dict[str, float]:
+    """Return the memory of a node in megabytes by kind of state."""
+    accept = measured.find("configuration accept", databases=DATABASES)
+    keys = measured.find("keys", organisations=ORGANISATIONS)
+    placement = measured.find("placement build", nodes=NODES, databases=DATABASES)
+    slope = measured.get_slope("node memory bytes by client connections")
     return {
-        "process with its modules": known.find("node base")["memory_mb"],
+        "process with its modules": measured.find("node base")["memory_mb"],
         "configuration": accept["memory_mb"],
         "keys": keys["memory_bytes"] / 1e6,
-        "placement": place["memory_bytes"] / 1e6,
-        "peer links": links * known.slope("memory bytes by links, one end") / 1e6,
-        "client connections": CONNECTIONS_EACH * slope / 1e6,
+        "placement": placement["memory_bytes"] / 1e6,
+        "peer links": links
+        * measured.get_slope("memory bytes by links, one end")
+        / 1e6,
+        "client connections": CONNECTIONS_PER_NODE * slope / 1e6,
     }
 
 
-def sum_reads(known: Measured) -> dict[str, float]:
-    """Return the platform's reads a second for the fleet."""
-    change = known.find("configuration change at one node", databases=DATABASES)
-    start = known.find("configuration start of a node", databases=DATABASES)
+def sum_reads(measured: Measurements) -> dict[str, float]:
+    """Return reads per second from the platform by the whole fleet."""
+    change = measured.find("configuration change at one node", databases=DATABASES)
+    start = measured.find("configuration start of a node", databases=DATABASES)
     return {
         "list of VMs": NODES / VM_LIST_INTERVAL_S,
         "watches without changes": NODES * 1000 / DEFAULT_WATCH_MS,
-        "configuration": CHANGES_A_DAY * change["read_calls"]["median"] * NODES / DAY_S,
-        "starts": STARTS_A_DAY * start["chunks"] / DAY_S,
+        "configuration": CHANGES_PER_DAY
+        * change["read_calls"]["median"]
+        * NODES
+        / DAY_S,
+        "starts": STARTS_PER_DAY * start["chunks"] / DAY_S,
     }
 
 
 def sum_writes() -> dict[str, float]:
-    """Return the platform's writes a second for the fleet."""
+    """Return writes per second to the platform by the whole fleet."""
     return {
         "allocator leases": ORGANISATIONS * 1000 / RENEW_AFTER_MS,
         "usage reports": NODES * 1000 / REPORT_INTERVAL_MS,
-        "configuration": 2 * CHANGES_A_DAY / DAY_S,
-        "starts and stops": 2 * STARTS_A_DAY / DAY_S,
+        "configuration": 2 * CHANGES_PER_DAY / DAY_S,
+        "starts and stops": 2 * STARTS_PER_DAY / DAY_S,
     }
 
 
 def emit_sum(name: str, limit: object, parts: dict[str, float]) -> None:
-    """Print parts, largest first, and their sum."""
+    """Print the parts of a budget, largest first, and their sum."""
     ordered = sorted(parts.items(), key=lambda part: -part[1])
     rounded = {part: float(f"{value:.3g}") for part, value in ordered}
     emit(f"budget {name}", limit=limit, total=sum(parts.values()), parts=rounded)
 
 
-def emit_processes(known: Measured) -> None:
-    """Print the processes that a node's statements need."""
-    for line in known.lines:
+def emit_processes(measured: Measurements) -> None:
+    """Print how many processes the statements of a node need."""
+    for line in measured.lines:
         if line["measure"] != "statement ratio":
             continue
         kind = line["kind"]
 
         def get_cost(at: str, kind: str = kind) -> float:
-            cost = known.find("statement cpu us", kind=kind, at=at)
+            cost = measured.find("statement cpu us", kind=kind, at=at)
             return float(cost["cpu_us"]["median"])
 
-        forwarded = get_cost("two nodes: entry") + get_cost("two nodes: holder")
-        cores = forwarded * STATEMENTS_EACH / 1e6
+        forwarded_us = get_cost("two nodes: entry") + get_cost("two nodes: holder")
+        cores = forwarded_us * STATEMENTS_PER_S_PER_NODE / 1e6
         emit(
             "processes for a node's statements",
             kind=kind,
             local_us=get_cost("one node: node"),
-            forwarded_us=forwarded,
+            forwarded_us=forwarded_us,
             forwarded_cores=cores,
             processes_at_60_percent=math.ceil(cores / 0.6),
             nodes_of_one_process=math.ceil(NODES * cores / 0.6),
@@ -209,22 +224,22 @@
 
 def main() -> None:
     """Print all budgets."""
-    known = Measured(read_lines(Path(sys.argv[1])))
+    measured = Measurements(read_lines(Path(sys.argv[1])))
     held = DATABASES * SLOTS / NODES
     links = count_links()
     emit(
         "shape",
         held_a_node=held,
         links_a_node=links,
-        pairs_a_node=PAIRS_A_NODE,
+        pairs_a_node=PAIRS_PER_NODE,
         ping_interval_s=PING_INTERVAL_S,
     )
-    emit_sum("node bytes a second", 2_000, sum_node_bytes(known, held, links))
-    emit_sum("node percent of a core", 1.1, sum_node_cpu(known, held, links))
-    emit_sum("node memory MB", 128, sum_memory(known, links))
-    emit_sum("platform reads a second", 2_000, sum_reads(known))
+    emit_sum("node bytes a second", 2_000, sum_node_bytes(measured, held, links))
+    emit_sum("node percent of a core", 1.1, sum_node_cpu(measured, held, links))
+    emit_sum("node memory MB", 128, sum_memory(measured, links))
+    emit_sum("platform reads a second", 2_000, sum_reads(measured))
     emit_sum("platform writes a second", "several hundred", sum_writes())
-    emit_processes(known)
+    emit_processes(measured)
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity/clients.py
+++ b/benchmarks/capacity/clients.py
@@ -1,8 +1,8 @@
 """Memory of a node for idle client connections.
 
 Run as ``python benchmarks/capacity/clients.py``; prints JSON lines. A proxy runs in a
-process of its own with an ordinary driver's connections, and its resident memory is
-read from the kernel.
+separate process, its connections come from an ordinary driver, and its resident
+memory is read from the kernel.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 SIZES: Final = (200, 500, 1_000)
 RATE: Final = 1_000_000.0
 SETTLE_S: Final = 1.0
-MEGABYTE: Final = 1e6
+BYTES_PER_MB: Final = 1e6
 
 
 async def connect(cluster: Cluster) -> Any:
@@ -35,29 +35,31 @@
 
 
 async def measure(cluster: Cluster) -> None:
-    """Open connections step by step and read the proxy's memory."""
+    """Open connections in steps and read the proxy's memory after each."""
     process = cluster.proxies[0].process
     assert process is not None
-    emit("node base", memory_mb=read_rss_bytes(process.pid) / MEGABYTE)
-    # The first statement and connection load modules and caches.
+    emit("node base", memory_mb=read_rss_bytes(process.pid) / BYTES_PER_MB)
+    # The first connection and statement load modules and fill caches.
     connections = [await connect(cluster)]
     async with connections[0].cursor() as cursor:
         await cursor.execute("SELECT @@version")
     points = []
     for size in SIZES:
-        cpu, opened = read_cpu_s(process.pid), len(connections)
+        cpu_before_s, connected = read_cpu_s(process.pid), len(connections)
         while len(connections) < size:
             connections.append(await connect(cluster))
-        cost = (read_cpu_s(process.pid) - cpu) / (len(connections) - opened)
+        connect_cpu_s = (read_cpu_s(process.pid) - cpu_before_s) / (
+            len(connections) - connected
+        )
         await asyncio.sleep(SETTLE_S)
-        memory = read_rss_bytes(process.pid)
+        memory_bytes = read_rss_bytes(process.pid)
         emit(
             "idle client connections",
             connections=size,
-            memory_mb=memory / MEGABYTE,
-            connect_cpu_us=1e6 * cost,
+            memory_mb=memory_bytes / BYTES_PER_MB,
+            connect_cpu_us=1e6 * connect_cpu_s,
         )
-        points.append((float(size), float(memory)))
+        points.append((float(size), float(memory_bytes)))
     emit_fit("node memory bytes by client connections", points)
     for connection in connections:
         connection.close()
--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -1,8 +1,8 @@
-"""Processor time of the entry's and the holder's decision on one statement.
+"""CPU time of the entry's and the holder's decisions on one statement.
 
 Run as ``python benchmarks/capacity/decisions.py``; prints JSON lines. The entry's
-part is everything before the statement is sent: key check, options, classification,
-access, route and holders. The holder's part is the choice of the member.
+decisions are all that precede sending: key check, options, classification, access,
+route and holders. The holder's decision is the choice of the member.
 """
 
 from __future__ import annotations
@@ -48,16 +48,16 @@
 
 
 def make_entry(document: Document) -> tuple[Entry, list[ClientState]]:
-    """Return an entry among all nodes and one client of each organisation."""
+    """Return an entry that knows all nodes, and one client of each organisation."""
     clock = make_system_clock()
     nodes = make_nodes(NODES)
     membership = make_membership(nodes[0])
     membership.apply_list(nodes)
     keyring = make_keyring()
-    chance = random.Random(SEED)
+    rng = random.Random(SEED)
     clients = []
     for number, name in enumerate(document.organisations):
-        key = issue_key(name, chance.randbytes)
+        key = issue_key(name, rng.randbytes)
         entry = {"id": key.key_id, "verifier": key.verifier_hex}
         keyring.apply_object(name, 1, {"keys": [entry]})
         clients.append(ClientState(number, name, key.key_id))
@@ -93,17 +93,17 @@
     )
 
 
-def make_work(
+def make_requests(
     document: Document, clients: list[ClientState]
 ) -> list[tuple[ClientState, str, str]]:
-    """Return clients, databases and statements of four kinds."""
-    chance = random.Random(SEED)
+    """Return triples of client, database and statement, of four kinds."""
+    rng = random.Random(SEED)
     databases: dict[str, list[str]] = {}
     for database in document.databases.values():
         databases.setdefault(database.owner, []).append(database.name)
-    work = []
+    requests = []
     for number in range(STATEMENTS):
-        client = chance.choice(clients)
+        client = rng.choice(clients)
         owner = document.organisations[client.organisation].owner
         statement = (
             f"/*radishtrack class=strict*/ SELECT id, state FROM jobs "
@@ -115,62 +115,64 @@
             f"SELECT o.id, j.state FROM orders o JOIN jobs j ON j.id = o.id "
             f"WHERE o.organisation = '{client.organisation}' AND j.state IN (1, 2)",
         )[number % 4]
-        work.append((client, chance.choice(databases[owner]), statement))
-    return work
+        requests.append((client, rng.choice(databases[owner]), statement))
+    return requests
 
 
 def make_decide(entry: Entry) -> Callable[[ClientState, str, str], object]:
-    """Return what the entry does with a statement until it is sent."""
+    """Return a function that makes the entry's decisions on one statement."""
 
     def decide(client: ClientState, database: str, sql: str) -> object:
         client.database = database
         entry.check_client(client)
         prepared = entry.read_statement(client, sql)
-        found = entry._find_database(client)
-        organisation = entry._check_access(client, found, prepared.statement)
-        request = entry._make_execute(client, found, organisation, prepared)
-        return request, entry.router.list_holders(found.name, found.region, found.slots)
+        target = entry._find_database(client)
+        organisation = entry._check_access(client, target, prepared.statement)
+        request = entry._make_execute(client, target, organisation, prepared)
+        return request, entry.router.list_holders(
+            target.name, target.region, target.slots
+        )
 
     return decide
 
 
 def measure_entry(organisations: int, databases: int) -> Spread:
-    """Measure the entry's decision and return processor microseconds a statement."""
+    """Measure the entry's decisions; return CPU microseconds per statement."""
     document = make_fleet_document(databases, organisations)
     entry, clients = make_entry(document)
-    work = make_work(document, clients)
+    requests = make_requests(document, clients)
     decide = make_decide(entry)
-    for item in work:
-        decide(*item)
+    for request in requests:
+        decide(*request)
     samples = []
     for _ in range(REPEATS):
         begin = time.process_time_ns()
-        for item in work:
-            decide(*item)
-        samples.append((time.process_time_ns() - begin) / 1000 / len(work))
-    elapsed = sorted(_time_one(decide, item) for item in work)
-    cost = summarise(samples)
+        for request in requests:
+            decide(*request)
+        samples.append((time.process_time_ns() - begin) / 1000 / len(requests))
+    wall_us = sorted(_time_one(decide, request) for request in requests)
+    cpu_us = summarise(samples)
     emit(
         "decision entry",
         organisations=organisations,
         databases=databases,
-        cpu_us=cost,
-        p99_wall_us=elapsed[len(elapsed) * 99 // 100],
+        cpu_us=cpu_us,
+        p99_wall_us=wall_us[len(wall_us) * 99 // 100],
     )
-    return cost
+    return cpu_us
 
 
 def _time_one(
     decide: Callable[[ClientState, str, str], object],
-    item: tuple[ClientState, str, str],
+    request: tuple[ClientState, str, str],
 ) -> float:
     begin = time.perf_counter_ns()
-    decide(*item)
+    decide(*request)
     return (time.perf_counter_ns() - begin) / 1000
 
 
 def measure_holder() -> None:
-    """Measure the choice of the member."""
+    """Measure the holder's choice of the member."""
     members = ("m1", "m2", "m3")
     group = Group("database", 1, 2, "m1", members, (TermStart(2, 5),))
     statuses = {
--- a/benchmarks/capacity/lists.py
+++ b/benchmarks/capacity/lists.py
@@ -1,4 +1,4 @@
-"""Bytes, processor time and memory of the keys and of the list of VMs.
+"""Bytes, CPU time and memory of the keys and of the list of VMs.
 
 Run as ``python benchmarks/capacity/lists.py``; prints JSON lines.
 """
@@ -35,16 +35,16 @@
 
 ORGANISATION_SIZES: Final = (8, 100, ORGANISATIONS)
 NODE_SIZES: Final = (50, 150, 295, NODES)
-KEYS_EACH: Final = 2
+KEYS_PER_ORGANISATION: Final = 2
 
 
 def make_key_objects(organisations: int) -> list[dict[str, Any]]:
-    """Return the platform's objects with two keys for each organisation."""
-    chance = random.Random(1)
+    """Return the key object of each organisation, with two keys each."""
+    rng = random.Random(1)
     objects = []
     for number in range(organisations):
         name = f"organisation-{number:04}"
-        keys = [issue_key(name, chance.randbytes) for _ in range(KEYS_EACH)]
+        keys = [issue_key(name, rng.randbytes) for _ in range(KEYS_PER_ORGANISATION)]
         entries = [
             {"id": key.key_id, "verifier": key.verifier_hex, "revoked": False}
             for key in keys
@@ -61,78 +61,78 @@
 
 
 def measure_keys() -> None:
-    """Measure bytes, processor time and memory of the keyring."""
-    memories, sizes = [], []
+    """Measure bytes, CPU time and memory of the keyring."""
+    memory_points, size_points = [], []
     for count in ORGANISATION_SIZES:
         text = json.dumps({"revision": count, "objects": make_key_objects(count)})
 
         def load(text: str = text) -> object:
             keyring = make_keyring()
             for item in json.loads(text)["objects"]:
-                found = parse_object(item)
-                keyring.apply_object(found.name, found.version, found.value)
+                record = parse_object(item)
+                keyring.apply_object(record.name, record.version, record.value)
             return keyring
 
-        cost = measure_cpu_us(load)
+        cpu_us = measure_cpu_us(load)
         gc.collect()
         tracemalloc.start()
         keyring = load()
         gc.collect()
-        memory, _ = tracemalloc.get_traced_memory()
+        memory_bytes, _ = tracemalloc.get_traced_memory()
         tracemalloc.stop()
         del keyring
         emit(
             "keys",
             organisations=count,
             bytes=len(text),
-            load_cpu_us=cost,
-            memory_bytes=memory,
+            load_cpu_us=cpu_us,
+            memory_bytes=memory_bytes,
         )
-        memories.append((count, float(memory)))
-        sizes.append((count, float(len(text))))
-    emit_fit("keyring memory by organisations", memories)
-    emit_fit("key bytes at a start by organisations", sizes)
+        memory_points.append((count, float(memory_bytes)))
+        size_points.append((count, float(len(text))))
+    emit_fit("keyring memory by organisations", memory_points)
+    emit_fit("key bytes at a start by organisations", size_points)
 
 
 def apply_list(text: str) -> None:
-    """Take a list of VMs as a node does."""
+    """Parse and apply a list of VMs as a node does."""
     records = [parse_vm(item) for item in json.loads(text)["vms"]]
     make_membership(make_nodes(1)[0]).apply_list(map(_make_node, records))
 
 
 async def measure_vm_list() -> None:
-    """Measure one read of the list of VMs."""
+    """Measure bytes and CPU time of one read of the list of VMs."""
     fleet = await start_fleet()
     client = fleet.make_node_client()
-    known, sizes, costs = 0, [], []
+    announced, size_points, cost_points = 0, [], []
     for count in NODE_SIZES:
-        for node in make_nodes(count)[known:]:
+        for node in make_nodes(count)[announced:]:
             await fleet.operator.announce(
                 VmRecord(
                     node.id, node.zone, node.region, VmState.LIVE, node.peer_address
                 )
             )
-        known = count
+        announced = count
         await client.vms()
-        counted = fleet.relay.total
+        bytes_before = fleet.relay.total
         await client.vms()
-        size = fleet.relay.total - counted
+        size_bytes = fleet.relay.total - bytes_before
         listed = [
             {**attrs.asdict(vm), "state": vm.state.value} for vm in await client.vms()
         ]
         text = json.dumps({"vms": listed})
-        cost = measure_cpu_us(partial(apply_list, text), repeats=9)
+        cpu_us = measure_cpu_us(partial(apply_list, text), repeats=9)
         emit(
             "list of VMs",
             nodes=count,
-            bytes=size,
+            bytes=size_bytes,
             zlib_bytes=len(zlib.compress(text.encode())),
-            parse_cpu_us=cost,
+            parse_cpu_us=cpu_us,
         )
-        sizes.append((count, float(size)))
-        costs.append((count, cost.median))
-    emit_fit("list bytes by nodes", sizes)
-    emit_fit("list parse us by nodes", costs)
+        size_points.append((count, float(size_bytes)))
+        cost_points.append((count, cpu_us.median))
+    emit_fit("list bytes by nodes", size_points)
+    emit_fit("list parse us by nodes", cost_points)
     await client.close()
     await fleet.close()
 
--- a/benchmarks/capacity/measuring.py
+++ b/benchmarks/capacity/measuring.py
@@ -1,4 +1,4 @@
-"""Tools of the capacity programs: fits, counters and a fleet's configuration."""
+"""Shared tools of the capacity programs: output, CPU time, memory, relay and fleet."""
 
 from __future__ import annotations
 
@@ -65,18 +65,18 @@
 
 def emit_fit(measure: str, points: Iterable[tuple[float, float]]) -> None:
     """Print the least-squares line through `points` as intercept, slope and r2."""
-    known = tuple(points)
-    xs, ys = [x for x, _ in known], [y for _, y in known]
+    pairs = tuple(points)
+    xs, ys = [x for x, _ in pairs], [y for _, y in pairs]
     slope, intercept = statistics.linear_regression(xs, ys)
     mean = statistics.fmean(ys)
-    total = sum((y - mean) ** 2 for y in ys)
-    rest = sum((y - intercept - slope * x) ** 2 for x, y in known)
-    r2 = 1.0 - rest / total if total else 1.0
+    total_squares = sum((y - mean) ** 2 for y in ys)
+    residual_squares = sum((y - intercept - slope * x) ** 2 for x, y in pairs)
+    r2 = 1.0 - residual_squares / total_squares if total_squares else 1.0
     emit(f"fit {measure}", sizes=xs, intercept=intercept, slope=slope, r2=r2)
 
 
 def measure_cpu_us(work: Callable[[], object], *, repeats: int = 5) -> Spread:
-    """Return the processor time of one call of `work` in microseconds."""
+    """Return the CPU time of one call of `work` in microseconds."""
     samples = []
     for _ in range(repeats):
         begin = time.process_time_ns()
@@ -92,7 +92,7 @@
 
 
 def read_rss_bytes(pid: int | None = None) -> int:
-    """Return the resident memory of a process, by default of this one, in bytes."""
+    """Return the resident memory in bytes of a process, by default of this one."""
     fields = Path(f"/proc/{pid or os.getpid()}/statm").read_text().split()
     return int(fields[1]) * PAGE_BYTES
 
@@ -111,11 +111,11 @@
 
     @property
     def total(self) -> int:
-        """Bytes in both directions."""
+        """Payload bytes in both directions."""
         return self.sent + self.received
 
     async def close(self) -> None:
-        """Stop and close all connections."""
+        """Stop listening and close all connections."""
         if self.server is not None:
             self.server.close()
         for task in tuple(self.tasks):
@@ -127,18 +127,18 @@
     ) -> None:
         """Relay one connection."""
         self.connections += 1
-        far_reader, far_writer = await asyncio.open_connection(
+        target_reader, target_writer = await asyncio.open_connection(
             "127.0.0.1", self.target_port
         )
         for source, sink, is_request in (
-            (reader, far_writer, True),
-            (far_reader, writer, False),
+            (reader, target_writer, True),
+            (target_reader, writer, False),
         ):
-            task = asyncio.create_task(self._pass(source, sink, is_request))
+            task = asyncio.create_task(self._forward(source, sink, is_request))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def _pass(
+    async def _forward(
         self, source: asyncio.StreamReader, sink: asyncio.StreamWriter, is_request: bool
     ) -> None:
         with contextlib.suppress(OSError):
@@ -153,7 +153,7 @@
 
 
 async def start_relay(target_port: int) -> CountingRelay:
-    """Start a relay in front of a port of this machine."""
+    """Start a relay to a port on loopback."""
     relay = CountingRelay(0, target_port)
     relay.server = await asyncio.start_server(relay.accept, "127.0.0.1", 0)
     relay.port = relay.server.sockets[0].getsockname()[1]
--- a/benchmarks/capacity/node.py
+++ b/benchmarks/capacity/node.py
@@ -1,8 +1,8 @@
-"""Processor time, bytes and memory of one node without clients.
+"""CPU time, bytes and memory of one node without clients.
 
 Run as ``python benchmarks/capacity/node.py``; prints JSON lines. A whole node runs in
-this process; the platform and three members are stand-ins in processes of their own.
-All databases use the same three members, which costs the node the same as others.
+this process; the platform and three members are stand-ins in separate processes. All
+databases share the three members, which costs the node as much as separate members.
 """
 
 from __future__ import annotations
@@ -56,20 +56,20 @@
 WINDOWS: Final = 3
 SETTLE_S: Final = 1.0
 START_TIMEOUT_S: Final = 30.0
-HOME: Final = "home"
-"""Region of the measured node; it holds all databases of the region."""
+HOME_REGION: Final = "home"
+"""Region of the measured node, which holds all databases of that region."""
 
 
 @attrs.define(frozen=True)
-class Surroundings:
-    """The stand-ins and the relays in front of the members."""
+class MemberStandins:
+    """The member stand-ins and a relay in front of each."""
 
     members: tuple[StandinProcess, ...]
     relays: tuple[CountingRelay, ...]
     use_relays: bool
 
     def make_group_value(self) -> dict[str, Any]:
-        """Return a group record; status polls pass the relays if they are used."""
+        """Return a group record, whose status polls use the relays if `use_relays`."""
         return {
             "term": 1,
             "primary": "m1",
@@ -92,7 +92,7 @@
 
 
 def make_client(url: str) -> PlatformClient:
-    """Return a client without a call budget."""
+    """Return a client whose call budget is never exhausted."""
     return make_platform_client(url, make_system_clock(), budget=CallBudget(1e6, 1e6))
 
 
@@ -107,32 +107,37 @@
     await client.put(MANIFEST_KIND, MANIFEST_NAME, encode_manifest(manifest), 0)
 
 
-def add_home(document: Document, held: int) -> Document:
-    """Return a document with `held` more databases in the node's own region."""
-    pattern = next(iter(make_fleet_document(1, 1).databases.values()))
-    home = [
+def add_held_databases(document: Document, held: int) -> Document:
+    """Return a copy of a document with `held` more databases in `HOME_REGION`."""
+    template = next(iter(make_fleet_document(1, 1).databases.values()))
+    added = [
         Database(
-            f"held-{number}", OWNERS[0], HOME, 1, pattern.connections, pattern.members
+            f"held-{number}",
+            OWNERS[0],
+            HOME_REGION,
+            1,
+            template.connections,
+            template.members,
         )
         for number in range(held)
     ]
     return make_document(
         document.owners.values(),
         document.organisations.values(),
-        (*document.databases.values(), *home),
+        (*document.databases.values(), *added),
         document.services.values(),
     )
 
 
 def make_server(url: str, directory: Path) -> NodeServer:
-    """Return a node that is not started."""
+    """Return the server of a node, not yet started."""
     path = directory / "node.toml"
     path.write_text(
         f"""
 [node]
 id = "measured"
 zone = "home-a"
-region = "{HOME}"
+region = "{HOME_REGION}"
 [listen]
 client_host = "127.0.0.1"
 client_port = 0
@@ -156,13 +161,13 @@
 
 
 async def sample_cpu_percent(windows: int = WINDOWS) -> Spread:
-    """Return the share of a core that this process uses, in percent."""
+    """Return the CPU usage of this process in percent of a core."""
     samples = []
     for _ in range(windows):
-        cpu, wall = time.process_time(), time.monotonic()
+        cpu_before_s, begin_s = time.process_time(), time.monotonic()
         await asyncio.sleep(WINDOW_S)
-        elapsed = time.monotonic() - wall
-        samples.append(100 * (time.process_time() - cpu) / elapsed)
+        elapsed_s = time.monotonic() - begin_s
+        samples.append(100 * (time.process_time() - cpu_before_s) / elapsed_s)
     return summarise(samples)
 
 
@@ -175,16 +180,16 @@
     use_relays: bool,
     windows: int = WINDOWS,
 ) -> tuple[Spread, float]:
-    """Run a node; return its share of a core and its status bytes a second."""
+    """Run a node; return its percent of a core and its status bytes per second."""
     platform = start_standin("platform")
     url = f"http://127.0.0.1:{platform.ports['port']}"
     client = make_client(url)
     relays = tuple([await start_relay(m.ports["admin_port"]) for m in members])
-    surroundings = Surroundings(members, relays, use_relays)
-    whole = add_home(document, held)
-    await store_document(client, whole)
-    for name in whole.databases:
-        value = surroundings.make_group_value()
+    standins = MemberStandins(members, relays, use_relays)
+    document_with_held = add_held_databases(document, held)
+    await store_document(client, document_with_held)
+    for name in document_with_held.databases:
+        value = standins.make_group_value()
         await client.put("groups", name, value, 0)
     for node in make_nodes(nodes):
         vm = VmRecord(node.id, node.zone, node.region, VmState.LIVE, node.peer_address)
@@ -198,15 +203,15 @@
             server.configuration.revision == 0 or len(server.holder.databases) != held
         ):
             if time.monotonic() > end:
-                raise RuntimeError("the node does not hold its databases")
+                raise RuntimeError(f"node did not hold its {held} databases in time")
             await asyncio.sleep(0.05)
-        started_s = time.monotonic() - begin
+        start_s = time.monotonic() - begin
         await asyncio.sleep(SETTLE_S)
-        begin, counted = time.monotonic(), sum(relay.total for relay in relays)
-        share = await sample_cpu_percent(windows)
-        elapsed = time.monotonic() - begin
-        bytes_per_s = (sum(relay.total for relay in relays) - counted) / elapsed
-        memory = read_rss_bytes()
+        begin, bytes_before = time.monotonic(), sum(relay.total for relay in relays)
+        core_percent = await sample_cpu_percent(windows)
+        elapsed_s = time.monotonic() - begin
+        bytes_per_s = (sum(relay.total for relay in relays) - bytes_before) / elapsed_s
+        memory_bytes = read_rss_bytes()
         await server.close()
     emit(
         "node without clients",
@@ -215,38 +220,38 @@
         nodes=nodes,
         held=held,
         relayed=use_relays,
-        core_percent=share,
+        core_percent=core_percent,
         status_bytes_per_s=bytes_per_s,
-        process_memory_mb=memory / 1e6,
-        configuration_after_s=started_s,
+        process_memory_mb=memory_bytes / 1e6,
+        configuration_after_s=start_s,
     )
     for relay in relays:
         await relay.close()
     await client.close()
     platform.stop()
-    return share, bytes_per_s
+    return core_percent, bytes_per_s
 
 
 async def measure_all(members: tuple[StandinProcess, ...]) -> None:
-    """Measure by databases held, then at the fleet's size."""
+    """Measure by number of held databases, then at the target scale."""
     small = make_fleet_document(3, 8)
-    shares, rates = [], []
+    cpu_points, byte_points = [], []
     for held in HELD_SIZES:
-        share, _ = await measure_node(members, small, held, 8, use_relays=False)
-        shares.append((float(held), share.median))
-    emit_fit("core percent by databases held", shares)
+        core_percent, _ = await measure_node(members, small, held, 8, use_relays=False)
+        cpu_points.append((float(held), core_percent.median))
+    emit_fit("core percent by databases held", cpu_points)
     for held in RELAYED_SIZES:
-        _, rate = await measure_node(
+        _, bytes_per_s = await measure_node(
             members, small, held, 8, use_relays=True, windows=1
         )
-        rates.append((float(held), rate))
-    emit_fit("status bytes a second by databases held", rates)
+        byte_points.append((float(held), bytes_per_s))
+    emit_fit("status bytes a second by databases held", byte_points)
     fleet = make_fleet_document(DATABASES, ORGANISATIONS)
     await measure_node(members, fleet, 3, NODES, use_relays=False)
 
 
 def main() -> None:
-    """Start the members and measure."""
+    """Start the member stand-ins and measure."""
     logging.disable(logging.CRITICAL)
     emit("node imports", memory_mb=read_rss_bytes() / 1e6)
     with tempfile.TemporaryDirectory() as directory:
--- a/benchmarks/capacity/peer.py
+++ b/benchmarks/capacity/peer.py
@@ -1,7 +1,7 @@
-"""Bytes, processor time and memory of the peer protocol.
+"""Bytes, CPU time and memory of the peer protocol.
 
 Run as ``python benchmarks/capacity/peer.py``; prints JSON lines. Both ends run in this
-process, so a figure of one end is half of what is measured, unless stated otherwise.
+process, so the cost of one end is half of the measured cost, unless stated otherwise.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 CONCURRENT: Final = 8
 LINK_SIZES: Final = (10, 50, 150)
 MEASURED_PING_S: Final = 0.5
-"""Replaces the interval of 20 s; costs are given for each ping and then scaled."""
+"""Replaces the interval of 20 s; the measured costs are scaled to that."""
 IDLE_S: Final = 2.0
 
 
@@ -61,8 +61,8 @@
     )
 
 
-def make_answer(request: int, rows: int, row_bytes: int) -> tuple[Message, ...]:
-    """Return the messages that answer a read with two columns."""
+def make_response(request: int, rows: int, row_bytes: int) -> tuple[Message, ...]:
+    """Return the response messages of a read with two columns."""
     done = Done(request, 0, 0, 3, 1_234_567, "database-0123-1", "replica", False)
     if rows == 0:
         return (done,)
@@ -75,10 +75,10 @@
 
 
 def make_handlers(rows: int, row_bytes: int) -> PeerHandlers:
-    """Return handlers that answer every statement alike."""
+    """Return handlers that send the same response to every statement."""
 
     async def execute(connection: str, request: Execute) -> AsyncIterator[Message]:
-        for message in make_answer(request.request, rows, row_bytes):
+        for message in make_response(request.request, rows, row_bytes):
             yield message
 
     async def ignore(*_: object) -> None:
@@ -88,18 +88,18 @@
 
 
 async def run_statements(link: PeerLink) -> None:
-    """Run statements over a link, some at a time."""
+    """Run `STATEMENTS` statements over a link, `CONCURRENT` at a time."""
 
-    async def work(first: int) -> None:
+    async def run_share(first: int) -> None:
         for number in range(first, STATEMENTS + 1, CONCURRENT):
             async for _ in link.execute(make_execute(number)):
                 pass
 
-    await asyncio.gather(*(work(number) for number in range(1, CONCURRENT + 1)))
+    await asyncio.gather(*(run_share(number) for number in range(1, CONCURRENT + 1)))
 
 
 async def measure_statements(rows: int, row_bytes: int) -> float:
-    """Measure forwarded statements; return processor microseconds at both ends."""
+    """Measure forwarded statements; return their CPU microseconds at both ends."""
     handlers = make_handlers(rows, row_bytes)
     server = await start_peer_server("127.0.0.1", 0, "server", SECRET, handlers)
     port = server.sockets[0].getsockname()[1]
@@ -135,7 +135,7 @@
 def measure_codec() -> None:
     """Measure encoding and decoding alone."""
     for rows in ROW_COUNTS:
-        messages = (make_execute(1), *make_answer(1, rows, ROW_BYTES[1]))
+        messages = (make_execute(1), *make_response(1, rows, ROW_BYTES[1]))
         frames = [encode(message) for message in messages]
         samples = []
         for _ in range(REPEATS):
@@ -157,45 +157,51 @@
     ]
 
 
-async def sample_core_share() -> float:
-    """Return the share of a core that this process uses."""
-    begin, cpu = time.monotonic(), time.process_time()
+async def sample_core_fraction() -> float:
+    """Return the CPU usage of this process as a fraction of a core."""
+    begin_s, cpu_before_s = time.monotonic(), time.process_time()
     await asyncio.sleep(IDLE_S)
-    return (time.process_time() - cpu) / (time.monotonic() - begin)
+    return (time.process_time() - cpu_before_s) / (time.monotonic() - begin_s)
 
 
 async def measure_links(port: int, count: int) -> tuple[float, float, float]:
-    """Measure links; return idle share, memory and bytes of all of them."""
+    """Measure idle links.
+
+    Returns
+    -------
+    tuple of float
+        Fraction of a core, bytes of memory and bytes per second of all links.
+    """
     gc.collect()
-    memory = read_rss_bytes()
-    begin = time.process_time()
+    memory_bytes = read_rss_bytes()
+    cpu_before_s = time.process_time()
     links = await open_links(port, count)
-    handshake_us = 1e6 * (time.process_time() - begin) / count
-    memory = read_rss_bytes() - memory
-    share = await sample_core_share()
+    handshake_us = 1e6 * (time.process_time() - cpu_before_s) / count
+    memory_bytes = read_rss_bytes() - memory_bytes
+    core_fraction = await sample_core_fraction()
     for link in links:
         await link.close()
     relay: CountingRelay = await start_relay(port)
     links = await open_links(relay.port, count)
     await asyncio.sleep(0.1)
     handshake_bytes = relay.total / count
-    counted, begin_wall = relay.total, time.monotonic()
+    bytes_before, begin_s = relay.total, time.monotonic()
     await asyncio.sleep(IDLE_S / 2)
-    rate = (relay.total - counted) / (time.monotonic() - begin_wall)
+    bytes_per_s = (relay.total - bytes_before) / (time.monotonic() - begin_s)
     emit(
         "idle links",
         links=count,
         handshake_cpu_us_both_ends=handshake_us,
         handshake_bytes=handshake_bytes,
-        core_percent_both_ends_fast=100 * share,
-        bytes_per_s_fast=rate,
-        memory_bytes_a_link_both_ends=memory / count,
+        core_percent_both_ends_fast=100 * core_fraction,
+        bytes_per_s_fast=bytes_per_s,
+        memory_bytes_a_link_both_ends=memory_bytes / count,
         ping_interval_s=MEASURED_PING_S,
     )
     for link in links:
         await link.close()
     await relay.close()
-    return share, float(memory), rate
+    return core_fraction, float(memory_bytes), bytes_per_s
 
 
 async def measure_all() -> None:
@@ -214,11 +220,11 @@
     port = server.sockets[0].getsockname()[1]
     await measure_links(port, 5)
     results = [(float(count), await measure_links(port, count)) for count in LINK_SIZES]
-    # Both ends send pings, so an interval has two of them.
+    # Both ends send a ping in each interval, so one end has half of the cost.
     scale = MEASURED_PING_S / PING_INTERVAL_S
     emit_fit(
         "core percent by links, one end, ping every 20 s",
-        ((count, 100 * share * scale / 2) for count, (share, _, _) in results),
+        ((count, 100 * fraction * scale / 2) for count, (fraction, _, _) in results),
     )
     emit_fit(
         "bytes a second by links, ping every 20 s",
--- a/benchmarks/capacity/placement.py
+++ b/benchmarks/capacity/placement.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of placement and of the reconcile loop.
+"""CPU time and memory of placement and of the reconcile loop.
 
 Run as ``python benchmarks/capacity/placement.py``; prints JSON lines.
 """
@@ -40,72 +40,74 @@
 
 
 def measure_build(nodes: int, databases: int) -> Spread:
-    """Measure the first placement of all databases, and its memory."""
+    """Measure CPU time and memory of the first placement of all databases."""
     document = make_fleet_document(databases, 8)
-    known = make_nodes(nodes)
-    cost = measure_cpu_us(lambda: place_all(make_placement(known), document), repeats=3)
+    all_nodes = make_nodes(nodes)
+    cpu_us = measure_cpu_us(
+        lambda: place_all(make_placement(all_nodes), document), repeats=3
+    )
     tracemalloc.start()
-    placement = make_placement(known)
+    placement = make_placement(all_nodes)
     place_all(placement, document)
-    memory, _ = tracemalloc.get_traced_memory()
+    memory_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     emit(
         "placement build",
         nodes=nodes,
         databases=databases,
-        cpu_ms=cost.median / 1000,
-        memory_bytes=memory,
+        cpu_ms=cpu_us.median / 1000,
+        memory_bytes=memory_bytes,
     )
-    return cost
+    return cpu_us
 
 
 def measure_change(nodes: int, databases: int) -> Spread:
-    """Measure the placement after one node came or went."""
+    """Measure the placement after one node was added or removed."""
     document = make_fleet_document(databases, 8)
-    known = make_nodes(nodes)
-    placement = make_placement(known)
+    all_nodes = make_nodes(nodes)
+    placement = make_placement(all_nodes)
     place_all(placement, document)
-    views = [known[1:], known]
+    node_lists = [all_nodes[1:], all_nodes]
 
     def change() -> None:
-        placement.set_nodes(views[0])
-        views.reverse()
+        placement.set_nodes(node_lists[0])
+        node_lists.reverse()
         place_all(placement, document)
 
-    cost = measure_cpu_us(change, repeats=6)
-    emit("placement change", nodes=nodes, databases=databases, cpu_us=cost)
-    return cost
+    cpu_us = measure_cpu_us(change, repeats=6)
+    emit("placement change", nodes=nodes, databases=databases, cpu_us=cpu_us)
+    return cpu_us
 
 
 def measure_reconcile(nodes: int, databases: int) -> Spread:
-    """Measure one pass of the reconcile loop without a change."""
+    """Measure a pass of the reconcile loop that changes nothing."""
     document = make_fleet_document(databases, 8)
-    known = make_nodes(nodes)
+    all_nodes = make_nodes(nodes)
     clock = make_system_clock()
 
     async def admit(organisation: str, deadline_ms: float) -> None:
         return
 
-    placement = make_placement(known)
-    membership = make_membership(known[0])
-    membership.apply_list(known)
+    placement = make_placement(all_nodes)
+    membership = make_membership(all_nodes[0])
+    membership.apply_list(all_nodes)
     holder = Holder(clock, admit)
-    slots = Slots(known[0], clock, DatabaseLogin("user", ""), holder, placement)
+    slots = Slots(all_nodes[0], clock, DatabaseLogin("user", ""), holder, placement)
 
     def reconcile() -> None:
         placement.set_nodes(membership.list_nodes(clock.now_ms()))
         slots.reconcile(document)
 
     reconcile()
-    cost = measure_cpu_us(reconcile, repeats=15)
+    cpu_us = measure_cpu_us(reconcile, repeats=15)
     emit(
         "reconcile pass",
         nodes=nodes,
         databases=databases,
-        cpu_us=cost,
-        core_share_percent=cost.median / RECONCILE_INTERVAL_S / 10_000,
+        cpu_us=cpu_us,
+        core_share_percent=cpu_us.median / RECONCILE_INTERVAL_S / 10_000,
     )
-    return cost
+    return cpu_us
 
 
 def main() -> None:
--- a/benchmarks/capacity/statements.py
+++ b/benchmarks/capacity/statements.py
@@ -1,7 +1,7 @@
-"""Processor time of one statement at entry, holder and a plain pass-through.
+"""CPU time of one statement at the entry, the holder and a plain pass-through.
 
-Run as ``python benchmarks/capacity/statements.py``; prints JSON lines. One database
-has one slot, so that one of two proxies is its holder and the other only an entry.
+Run as ``python benchmarks/capacity/statements.py``; prints JSON lines. The database
+has one slot, so one of two proxies is its holder and the other only an entry.
 ``one node`` sends statements to the holder itself, ``two nodes`` to the other proxy.
 The same drivers send the same statements without options to a pass-through in front
 of the primary. Times are user and system time of the processes, from the kernel.
@@ -37,8 +37,8 @@
 
 
 @attrs.define(frozen=True)
-class Kind:
-    """One kind of statement; ``{number}`` differs in every statement."""
+class StatementKind:
+    """A kind of statement; ``{number}`` is replaced by a number in each statement."""
 
     name: str
     options: str
@@ -46,51 +46,53 @@
 
 
 KINDS: Final = (
-    Kind(
+    StatementKind(
         "aged read, 1 row",
         "/*radishtrack class=aged max_age_ms=5000*/ ",
         "SELECT id, state FROM orders WHERE id = 'order-{number}' LIMIT 1",
     ),
-    Kind(
+    StatementKind(
         "aged read, 10 rows",
         "/*radishtrack class=aged max_age_ms=5000*/ ",
         "SELECT id, state FROM orders WHERE state <> 'none{number}' LIMIT 10",
     ),
-    Kind(
+    StatementKind(
         "aged read, 100 rows",
         "/*radishtrack class=aged max_age_ms=5000*/ ",
         "SELECT id, state FROM orders WHERE state <> 'none{number}' LIMIT 100",
     ),
-    Kind(
+    StatementKind(
         "strict read, 1 row",
         "/*radishtrack class=strict*/ ",
         "SELECT id, state FROM orders WHERE id = 'order-{number}' LIMIT 1",
     ),
-    Kind("write", "", "UPDATE orders SET state = 'done' WHERE id = 'order-{number}'"),
+    StatementKind(
+        "write", "", "UPDATE orders SET state = 'done' WHERE id = 'order-{number}'"
+    ),
 )
 
 
 @attrs.define(frozen=True)
-class Way:
-    """One way to the database."""
+class AccessPath:
+    """A path from the clients to the database."""
 
     name: str
     port: int
     user: str
     password: str
     processes: dict[str, int]
-    """Process identifiers by role."""
+    """Process ID by role."""
     has_options: bool = True
 
 
-async def open_connections(way: Way, database: str) -> list[Any]:
-    """Open the clients' connections."""
+async def open_connections(path: AccessPath, database: str) -> list[Any]:
+    """Open the connections of all clients."""
     return [
         await aiomysql.connect(
             host="127.0.0.1",
-            port=way.port,
-            user=way.user,
-            password=way.password,
+            port=path.port,
+            user=path.user,
+            password=path.password,
             db=database,
             autocommit=True,
         )
@@ -98,12 +100,14 @@
     ]
 
 
-async def run_statements(connections: list[Any], kind: Kind, with_options: bool) -> int:
-    """Run statements in a closed loop; return the number of failures."""
+async def run_statements(
+    connections: list[Any], kind: StatementKind, with_options: bool
+) -> int:
+    """Run `STATEMENTS` statements in a closed loop; return the number of failures."""
     text = (kind.options if with_options else "") + kind.text
     failures = 0
 
-    async def work(connection: Any, first: int) -> None:
+    async def run_client(connection: Any, first: int) -> None:
         nonlocal failures
         async with connection.cursor() as cursor:
             for number in range(first, STATEMENTS, CLIENTS):
@@ -114,46 +118,49 @@
                     failures += 1
 
     await asyncio.gather(
-        *(work(connection, number) for number, connection in enumerate(connections))
+        *(
+            run_client(connection, number)
+            for number, connection in enumerate(connections)
+        )
     )
     return failures
 
 
 async def measure_once(
-    way: Way, connections: list[Any], kind: Kind
+    path: AccessPath, connections: list[Any], kind: StatementKind
 ) -> tuple[dict[str, float], float, int]:
-    """Return microseconds a statement by role, statements a second and failures."""
-    before = {role: read_cpu_s(pid) for role, pid in way.processes.items()}
-    begin = time.monotonic()
-    failures = await run_statements(connections, kind, way.has_options)
-    elapsed = time.monotonic() - begin
-    cost = {
-        role: 1e6 * (read_cpu_s(pid) - before[role]) / STATEMENTS
-        for role, pid in way.processes.items()
+    """Return CPU us per statement by role, statements per second and failures."""
+    cpu_before_s = {role: read_cpu_s(pid) for role, pid in path.processes.items()}
+    begin_s = time.monotonic()
+    failures = await run_statements(connections, kind, path.has_options)
+    elapsed_s = time.monotonic() - begin_s
+    cpu_us = {
+        role: 1e6 * (read_cpu_s(pid) - cpu_before_s[role]) / STATEMENTS
+        for role, pid in path.processes.items()
     }
-    return cost, STATEMENTS / elapsed, failures
+    return cpu_us, STATEMENTS / elapsed_s, failures
 
 
 async def measure_kind(
-    ways: list[tuple[Way, list[Any]]], kind: Kind
+    paths: list[tuple[AccessPath, list[Any]]], kind: StatementKind
 ) -> dict[str, float]:
-    """Measure one kind on all ways in turn; return medians by way and role."""
+    """Measure one kind on all paths in turn; return medians by path and role."""
     samples: dict[str, list[float]] = {}
     ratios: list[float] = []
     rates: dict[str, list[float]] = {}
     failures = 0
-    for way, connections in ways:
-        await run_statements(connections, kind, way.has_options)
+    for path, connections in paths:
+        await run_statements(connections, kind, path.has_options)
     for _ in range(REPEATS):
-        once: dict[str, float] = {}
-        for way, connections in ways:
-            cost, rate, failed = await measure_once(way, connections, kind)
+        costs: dict[str, float] = {}
+        for path, connections in paths:
+            cost, rate, failed = await measure_once(path, connections, kind)
             failures += failed
-            rates.setdefault(way.name, []).append(rate)
-            once |= {f"{way.name}: {role}": value for role, value in cost.items()}
-        for name, value in once.items():
+            rates.setdefault(path.name, []).append(rate)
+            costs |= {f"{path.name}: {role}": value for role, value in cost.items()}
+        for name, value in costs.items():
             samples.setdefault(name, []).append(value)
-        ratios.append(once["one node: node"] / once["pass-through: process"])
+        ratios.append(costs["one node: node"] / costs["pass-through: process"])
     medians = {name: summarise(values).median for name, values in samples.items()}
     for name, values in samples.items():
         emit("statement cpu us", kind=kind.name, at=name, cpu_us=summarise(values))
@@ -195,8 +202,8 @@
     pids = {name: p.process.pid for name, p in by_name.items() if p.process}
     organisation = plan.organisations[0][0]
     key = cluster.keys[organisation]
-    known = (
-        Way(
+    access_paths = (
+        AccessPath(
             "pass-through",
             passthrough[1],
             "anyone",
@@ -204,14 +211,14 @@
             {"process": passthrough[0]},
             False,
         ),
-        Way(
+        AccessPath(
             "one node",
             by_name[holder].client_port,
             organisation,
             key,
             {"node": pids[holder]},
         ),
-        Way(
+        AccessPath(
             "two nodes",
             by_name[other].client_port,
             organisation,
@@ -220,29 +227,31 @@
         ),
     )
     await asyncio.sleep(1.0)
-    ways = [(way, await open_connections(way, plan.database)) for way in known]
-    await prepare(ways[1][1])
-    medians = {kind.name: await measure_kind(ways, kind) for kind in KINDS}
+    paths = [
+        (path, await open_connections(path, plan.database)) for path in access_paths
+    ]
+    await prepare(paths[1][1])
+    medians = {kind.name: await measure_kind(paths, kind) for kind in KINDS}
     for at in medians[KINDS[0].name]:
         points = [
             (float(rows), medians[kind.name][at])
             for rows, kind in zip((1, 10, 100), KINDS, strict=False)
         ]
         emit_fit(f"statement cpu us by rows, {at}", points)
-    for _, connections in ways:
+    for _, connections in paths:
         for connection in connections:
             connection.close()
 
 
 @contextlib.contextmanager
-def start_passthrough(target: int) -> Iterator[tuple[int, int]]:
-    """Run a pass-through process; yields its process identifier and port."""
+def start_passthrough(target_port: int) -> Iterator[tuple[int, int]]:
+    """Run a pass-through process; yield its process ID and port."""
     process = subprocess.Popen(
         [
             sys.executable,
             "-m",
             "radishtrack.bench.passthrough",
-            f"--target=127.0.0.1:{target}",
+            f"--target=127.0.0.1:{target_port}",
         ],
         stdout=subprocess.PIPE,
         text=True,
@@ -250,17 +259,17 @@
     )
     try:
         assert process.stdout is not None
-        found = re.search(r"port=(\d+)", process.stdout.readline())
-        if found is None:
-            raise RuntimeError("the pass-through did not start")
-        yield process.pid, int(found[1])
+        match = re.search(r"port=(\d+)", process.stdout.readline())
+        if match is None:
+            raise RuntimeError("pass-through printed no port")
+        yield process.pid, int(match[1])
     finally:
         process.terminate()
         process.wait(5)
 
 
 def main() -> None:
-    """Start a deployment and a pass-through and measure them."""
+    """Start a deployment and a pass-through, and measure them."""
     plan = ClusterPlan(
         zones=("oslo-a", "oslo-b"),
         slots=1,
--- a/benchmarks/capacity/watch.py
+++ b/benchmarks/capacity/watch.py
@@ -1,4 +1,4 @@
-"""Traffic with the platform for the configuration.
+"""Traffic between nodes and platform for the configuration.
 
 Run as ``python benchmarks/capacity/watch.py``; prints JSON lines. Bytes are counted
 by a relay in front of the platform stand-in and include HTTP headers.
@@ -62,58 +62,58 @@
 
 @attrs.define
 class Follower:
-    """A node's part that follows the configuration."""
+    """Watches, fetches and accepts the configuration as a node does."""
 
     client: PlatformClient
     state: ConfigurationState
-    arrived: asyncio.Event = attrs.field(factory=asyncio.Event)
-    changed: asyncio.Event = attrs.field(factory=asyncio.Event)
+    accepted_event: asyncio.Event = attrs.field(factory=asyncio.Event)
+    manifest_event: asyncio.Event = attrs.field(factory=asyncio.Event)
     manifest: Manifest | None = None
-    arrived_at: float = 0.0
+    accepted_at_s: float = 0.0
 
-    def apply(self, answer: WatchAnswer) -> None:
-        """Note a manifest."""
-        for found in answer.objects:
-            if found.kind == MANIFEST_KIND and found.value is not None:
-                self.manifest = decode_manifest(found.value)
-                self.changed.set()
+    def record_manifest(self, response: WatchAnswer) -> None:
+        """Record the manifest of a watch response."""
+        for record in response.objects:
+            if record.kind == MANIFEST_KIND and record.value is not None:
+                self.manifest = decode_manifest(record.value)
+                self.manifest_event.set()
 
-    async def fetch(self) -> None:
-        """Fetch the chunks of each manifest and put it into force, as a node does."""
+    async def accept_manifests(self) -> None:
+        """Fetch the missing chunks of each new manifest and accept it."""
         while True:
-            await self.changed.wait()
-            self.changed.clear()
+            await self.manifest_event.wait()
+            self.manifest_event.clear()
             manifest = self.manifest
             if manifest is None:
                 continue
             chunks = {}
             for digest in self.state.find_missing(manifest):
-                found = await self.client.get(CHUNK_KIND, digest)
-                if found is not None and found.value is not None:
-                    chunks[digest] = decode_chunk(found.value)
+                record = await self.client.get(CHUNK_KIND, digest)
+                if record is not None and record.value is not None:
+                    chunks[digest] = decode_chunk(record.value)
             self.state.accept(manifest, chunks)
-            self.arrived_at = time.monotonic()
-            self.arrived.set()
+            self.accepted_at_s = time.monotonic()
+            self.accepted_event.set()
 
 
 @attrs.define
 class Fleet:
-    """A platform, the operator's client and a relay for the nodes."""
+    """A platform stand-in, the operator's client and a relay for the nodes."""
 
     platform: StandinProcess
     relay: CountingRelay
     operator: PlatformClient
 
     def make_node_client(self) -> PlatformClient:
-        """Return a client whose traffic is counted."""
+        """Return a client whose traffic the relay counts."""
         return make_client(f"http://127.0.0.1:{self.relay.port}")
 
     async def read_counts(self) -> dict[str, int]:
-        """Return the platform's counts of calls."""
+        """Return the platform's counts of calls by kind."""
         url = f"http://127.0.0.1:{self.platform.ports['port']}/control/counts"
         session = self.operator._open_session()
-        async with session.get(url) as answer:
-            counts: dict[str, int] = (await answer.json())["counts"]
+        async with session.get(url) as response:
+            counts: dict[str, int] = (await response.json())["counts"]
         return counts
 
     async def close(self) -> None:
@@ -132,42 +132,44 @@
 
 
 async def apply_change(client: PlatformClient, number: int, databases: int) -> None:
-    """Change the rate of one organisation as an operator would."""
+    """Change the rate of one organisation as an operator does."""
     document = make_fleet_document(databases, ORGANISATIONS, rate=2000.0 + number)
     first = next(iter(document.organisations))
     before = await client.get(MANIFEST_KIND, MANIFEST_NAME)
     assert before is not None
     manifest = decode_manifest(before.value)
-    present = {
-        name: part if name == first else attrs.evolve(part, rate=1500.0)
-        for name, part in document.organisations.items()
+    organisations = {
+        name: organisation if name == first else attrs.evolve(organisation, rate=1500.0)
+        for name, organisation in document.organisations.items()
     }
-    chunks = split_document(attrs.evolve(document, organisations=present))
+    chunks = split_document(attrs.evolve(document, organisations=organisations))
     for digest in chunks.keys() - set(manifest.chunks):
         await client.put(CHUNK_KIND, digest, encode_chunk(chunks[digest]), 0)
-    following = make_next_manifest(
+    next_manifest = make_next_manifest(
         manifest,
         chunks,
         apply_id=f"{number:032x}",
         author="operator@fjellsko.example",
         changes=(f"organisation {first}: rate 1500.0 -> {2000.0 + number}",),
     )
-    value = encode_manifest(following)
+    value = encode_manifest(next_manifest)
     await client.put(MANIFEST_KIND, MANIFEST_NAME, value, before.version)
 
 
 async def measure_changes(databases: int) -> float:
-    """Measure what one change costs one node; return the bytes."""
+    """Measure the start of one node and changes at it; return the bytes per change."""
     fleet = await start_fleet()
     await store_document(fleet.operator, make_fleet_document(databases, ORGANISATIONS))
     client = fleet.make_node_client()
     follower = Follower(client, make_configuration_state())
     tasks = [
-        asyncio.create_task(follow_objects(client, WATCHED_KINDS, follower.apply)),
-        asyncio.create_task(follower.fetch()),
+        asyncio.create_task(
+            follow_objects(client, WATCHED_KINDS, follower.record_manifest)
+        ),
+        asyncio.create_task(follower.accept_manifests()),
     ]
     begin, cpu = time.monotonic(), time.process_time()
-    await asyncio.wait_for(follower.arrived.wait(), CHANGE_TIMEOUT_S)
+    await asyncio.wait_for(follower.accepted_event.wait(), CHANGE_TIMEOUT_S)
     emit(
         "configuration start of a node",
         databases=databases,
@@ -179,18 +181,20 @@
     )
     sizes, calls, seconds = [], [], []
     for number in range(CHANGES):
-        follower.arrived.clear()
-        counted, before = fleet.relay.total, await fleet.read_counts()
+        follower.accepted_event.clear()
+        bytes_before, calls_before = fleet.relay.total, await fleet.read_counts()
         begin = time.monotonic()
         await apply_change(fleet.operator, number, databases)
-        await asyncio.wait_for(follower.arrived.wait(), CHANGE_TIMEOUT_S)
-        seconds.append(follower.arrived_at - begin)
+        await asyncio.wait_for(follower.accepted_event.wait(), CHANGE_TIMEOUT_S)
+        seconds.append(follower.accepted_at_s - begin)
         await asyncio.sleep(0.1)
-        after = await fleet.read_counts()
-        sizes.append(float(fleet.relay.total - counted))
-        watches = after.get("watch", 0) - before.get("watch", 0)
-        # The operator reads the manifest once.
-        calls.append(watches + after.get("get", 0) - before.get("get", 0) - 1.0)
+        calls_after = await fleet.read_counts()
+        sizes.append(float(fleet.relay.total - bytes_before))
+        watches = calls_after.get("watch", 0) - calls_before.get("watch", 0)
+        # Less one call, with which the operator reads the manifest.
+        calls.append(
+            watches + calls_after.get("get", 0) - calls_before.get("get", 0) - 1.0
+        )
     emit(
         "configuration change at one node",
         databases=databases,
@@ -198,13 +202,13 @@
         read_calls=summarise(calls),
         seconds=summarise(seconds),
     )
-    await stop(tasks)
+    await cancel_all(tasks)
     await client.close()
     await fleet.close()
     return summarise(sizes).median
 
 
-async def stop(tasks: list[asyncio.Task[None]]) -> None:
+async def cancel_all(tasks: list[asyncio.Task[None]]) -> None:
     """Cancel tasks and wait for them."""
     for task in tasks:
         task.cancel()
@@ -212,21 +216,21 @@
 
 
 def measure_accept(databases: int) -> None:
-    """Measure processor time and memory of putting a revision into force."""
+    """Measure CPU time and memory of accepting a revision."""
     chunks = split_document(make_fleet_document(databases, ORGANISATIONS))
     manifest = Manifest(1, tuple(sorted(chunks)))
-    whole = measure_cpu_us(
+    first_cpu_us = measure_cpu_us(
         lambda: make_configuration_state().accept(manifest, chunks), repeats=3
     )
     tracemalloc.start()
     state = make_configuration_state()
     state.accept(manifest, {key: str(text) for key, text in chunks.items()})
-    memory, peak = tracemalloc.get_traced_memory()
+    memory_bytes, peak_bytes = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     document = make_fleet_document(databases, ORGANISATIONS)
     first = next(iter(document.organisations.values()))
-    part = attrs.evolve(first, rate=first.rate + 1)
-    organisations = {**document.organisations, first.name: part}
+    changed_organisation = attrs.evolve(first, rate=first.rate + 1)
+    organisations = {**document.organisations, first.name: changed_organisation}
     changed = split_document(attrs.evolve(document, organisations=organisations))
     (digest,) = changed.keys() - chunks.keys()
     samples = []
@@ -234,12 +238,12 @@
         copy = ConfigurationState(
             state.manifest, state.document, dict(state.texts), dict(state.parts)
         )
-        following = Manifest(2, tuple(sorted(changed)))
+        next_manifest = Manifest(2, tuple(sorted(changed)))
         begin = time.process_time_ns()
-        accepted = copy.accept(following, {digest: changed[digest]})
+        accepted = copy.accept(next_manifest, {digest: changed[digest]})
         samples.append((time.process_time_ns() - begin) / 1000)
         if not isinstance(accepted, Accepted):
-            raise RuntimeError(f"not accepted: {accepted}")
+            raise RuntimeError(f"manifest was not accepted: {accepted}")
     emit(
         "configuration accept",
         databases=databases,
@@ -247,48 +251,53 @@
         chunks=len(chunks),
         chunk_bytes=sum(map(len, chunks.values())),
         manifest_bytes=len(json.dumps(encode_manifest(manifest))),
-        first_cpu_ms=whole.median / 1000,
+        first_cpu_ms=first_cpu_us.median / 1000,
         change_cpu_us=summarise(samples),
-        memory_mb=memory / 1e6,
-        peak_mb=peak / 1e6,
+        memory_mb=memory_bytes / 1e6,
+        peak_mb=peak_bytes / 1e6,
     )
 
 
 async def measure_followers(count: int) -> float:
-    """Measure the time until all of `count` followers have a change."""
+    """Measure the time until all of `count` followers have accepted a change."""
     fleet = await start_fleet()
     document = make_fleet_document(DATABASES, ORGANISATIONS)
     await store_document(fleet.operator, document)
     chunks = split_document(document)
-    first = make_configuration_state()
-    first.accept(Manifest(1, tuple(sorted(chunks))), chunks)
+    initial = make_configuration_state()
+    initial.accept(Manifest(1, tuple(sorted(chunks))), chunks)
     url = f"http://127.0.0.1:{fleet.platform.ports['port']}"
     followers = [
         Follower(
             make_client(url),
             ConfigurationState(
-                first.manifest, first.document, dict(first.texts), dict(first.parts)
+                initial.manifest,
+                initial.document,
+                dict(initial.texts),
+                dict(initial.parts),
             ),
         )
         for _ in range(count)
     ]
     tasks = []
     for follower in followers:
-        following = follow_objects(follower.client, WATCHED_KINDS, follower.apply)
+        following = follow_objects(
+            follower.client, WATCHED_KINDS, follower.record_manifest
+        )
         tasks.append(asyncio.create_task(following))
-        tasks.append(asyncio.create_task(follower.fetch()))
+        tasks.append(asyncio.create_task(follower.accept_manifests()))
     await asyncio.sleep(2.0)
     times, cpu_ms, platform_ms = [], [], []
     for number in range(CHANGES):
         for follower in followers:
-            follower.arrived.clear()
+            follower.accepted_event.clear()
         begin, cpu = time.monotonic(), time.process_time()
         platform_cpu = read_cpu_s(fleet.platform.process.pid)
         await apply_change(fleet.operator, number, DATABASES)
         async with asyncio.timeout(CHANGE_TIMEOUT_S):
             for follower in followers:
-                await follower.arrived.wait()
-        times.append(max(follower.arrived_at for follower in followers) - begin)
+                await follower.accepted_event.wait()
+        times.append(max(follower.accepted_at_s for follower in followers) - begin)
         cpu_ms.append(1000 * (time.process_time() - cpu) / count)
         platform_cpu = read_cpu_s(fleet.platform.process.pid) - platform_cpu
         platform_ms.append(1000 * platform_cpu / count)
@@ -299,7 +308,7 @@
         cpu_ms_a_follower=summarise(cpu_ms),
         platform_cpu_ms_a_follower=summarise(platform_ms),
     )
-    await stop(tasks)
+    await cancel_all(tasks)
     for follower in followers:
         await follower.client.close()
     await fleet.close()
@@ -307,23 +316,23 @@
 
 
 async def measure_idle() -> None:
-    """Measure the bytes of a pending watch without changes."""
+    """Measure the bytes of watch calls that return no change."""
     fleet = await start_fleet()
     client = fleet.make_node_client()
     await fleet.operator.put(KEYS_KIND, "organisation", {"keys": []}, 0)
     following = follow_objects(client, WATCHED_KINDS, lambda _: None)
     task = asyncio.create_task(following)
     await asyncio.sleep(0.5)
-    counted, before = fleet.relay.total, await fleet.read_counts()
+    bytes_before, calls_before = fleet.relay.total, await fleet.read_counts()
     await asyncio.sleep(IDLE_S)
-    calls = (await fleet.read_counts()).get("watch", 0) - before.get("watch", 0)
+    calls = (await fleet.read_counts()).get("watch", 0) - calls_before.get("watch", 0)
     emit(
         "watch without changes",
-        bytes_a_call=(fleet.relay.total - counted) / max(1, calls),
+        bytes_a_call=(fleet.relay.total - bytes_before) / max(1, calls),
         calls_per_s=calls / IDLE_S,
-        bytes_per_s=(fleet.relay.total - counted) / IDLE_S,
+        bytes_per_s=(fleet.relay.total - bytes_before) / IDLE_S,
     )
-    await stop([task])
+    await cancel_all([task])
     await client.close()
     await fleet.close()
 
