--- a/deploy/radishtrack_node.py
+++ b/deploy/radishtrack_node.py
@@ -1,4 +1,4 @@
-"""Starts a node of radishtrack from a checkout."""
+"""Starts a radishtrack node from a source checkout."""
 
 from __future__ import annotations
 
--- a/examples/embed_routing.py
+++ b/examples/embed_routing.py
@@ -1,4 +1,4 @@
-"""Decides where a read runs, without a node: options, class, evidence, member.
+"""Routes reads without running a node: options, read class, evidence and member.
 
 Run it with `python examples/embed_routing.py`. It opens no socket.
 """
@@ -33,7 +33,7 @@
 
 
 def make_statuses() -> dict[str, MemberStatus]:
-    """Return one answer of each member: strekk-1 lags by 5 changes."""
+    """Return the status of each member; strekk-1 lags by 5 changes."""
     return {
         "strekk-1": MemberStatus("strekk-1", 2, 2, Role.REPLICA, Position(2, 95)),
         "strekk-2": MemberStatus("strekk-2", 2, 2, Role.PRIMARY, Position(2, 100)),
@@ -41,14 +41,14 @@
     }
 
 
-def read_class_of(sql: str, *, has_position: bool) -> EffectiveClass:
-    """Return the class of a statement with its options."""
+def determine_read_class(sql: str, *, has_position: bool) -> EffectiveClass:
+    """Return the read class of a statement, resolved from its options and `ROUTE`."""
     options, _ = split_options(sql)
     return resolve_read_class(options, ROUTE, has_position, in_transaction=False)
 
 
 def describe_reads() -> Iterator[str]:
-    """Yield one line for each decision."""
+    """Yield one line for each routing decision."""
     classify = make_classifier()
     for sql in ("SELECT state FROM jobs WHERE id = 7", "UPDATE jobs SET state = 'x'"):
         statement = classify(sql)
@@ -57,7 +57,7 @@
     statuses = make_statuses()
     for position in (Position(2, 90), Position(2, 98), Position(2, 101)):
         request = ReadRequest(
-            effective=read_class_of(select, has_position=True),
+            effective=determine_read_class(select, has_position=True),
             group=GROUP,
             statuses=statuses,
             position=position,
@@ -66,7 +66,7 @@
         )
         yield f"session read at {position}: {choose_member(request)}"
     aged = ReadRequest(
-        effective=read_class_of(
+        effective=determine_read_class(
             f"/*radishtrack class=aged max_age_ms=500*/ {select}", has_position=False
         ),
         group=GROUP,
@@ -79,15 +79,15 @@
 
 
 def describe_evidence() -> Iterator[str]:
-    """Yield what a round of status polls proves for a strict read."""
-    for silent in ((), ("strekk-3",), ("strekk-2", "strekk-3")):
-        answers = {
+    """Yield the choice for a strict read after status polls with missing responses."""
+    for unresponsive in ((), ("strekk-3",), ("strekk-2", "strekk-3")):
+        statuses = {
             name: status
             for name, status in make_statuses().items()
-            if name not in silent
+            if name not in unresponsive
         }
-        choice = choose_strict(StatusRound(0.0, answers), GROUP)
-        yield f"strict read, silent {list(silent)}: {choice}"
+        choice = choose_strict(StatusRound(0.0, statuses), GROUP)
+        yield f"strict read, unresponsive {list(unresponsive)}: {choice}"
 
 
 if __name__ == "__main__":
--- a/tests/test_binary.py
+++ b/tests/test_binary.py
@@ -1,7 +1,7 @@
-"""Guards shipping: one file that runs as one process and needs no disk.
+"""Tests of the executable: one file that runs as one process and needs no disk.
 
-The file is built once. A library that isn't copied, a module that is only found in the
-developer's environment, or a child process at start would fail here.
+The file is built once. The tests fail if a library is not copied, if a module is found
+only in the developer's environment, or if the start creates a child process.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
 
 @pytest.fixture(scope="module")
 def environment(ram_directory: Path) -> dict[str, str]:
-    """Nothing of the developer's environment but the interpreter."""
+    """Only the interpreter of the developer's environment."""
     (ram_directory / "bin").mkdir()
     (ram_directory / "bin/python3.11").symlink_to(sys._base_executable)
     return {
@@ -75,35 +75,35 @@
     return [child for child in children if child]
 
 
-def test_version_needs_no_environment(
+def test_version_runs_without_the_developers_environment(
     binary: Path, environment: dict[str, str]
 ) -> None:
-    done = subprocess.run(
+    result = subprocess.run(
         [binary, "--version"], env=environment, capture_output=True, text=True
     )
-    assert (done.returncode, done.stdout) == (0, f"{__version__}\n"), done.stderr
+    assert (result.returncode, result.stdout) == (0, f"{__version__}\n"), result.stderr
 
 
-def test_config_check_of_the_examples(
+def test_config_check_accepts_the_examples(
     binary: Path, environment: dict[str, str]
 ) -> None:
     files = [PROJECT / f"examples/{name}.toml" for name in ("fjellsko", "kalmistu")]
-    done = subprocess.run(
+    result = subprocess.run(
         [binary, "config", "check", *files],
         env=environment,
         capture_output=True,
         text=True,
     )
-    assert done.returncode == 0, done.stderr
-    assert "2 owners" in done.stdout
+    assert result.returncode == 0, result.stderr
+    assert "2 owners" in result.stdout
 
 
-def test_proxy_is_one_process(
+def test_proxy_runs_as_one_process(
     binary: Path, environment: dict[str, str], ram_directory: Path
 ) -> None:
-    """The started pid itself serves, has no child, and loads nothing from a disk.
+    """The started process itself serves, has no child and loads no library from a disk.
 
-    It unpacks the file itself, because that is when shiv may start processes.
+    It also unpacks the file, since shiv may start processes while unpacking.
     """
     environment = environment | {"SHIV_ROOT": str(ram_directory / "first-start")}
     platform = start_standin("platform", "--vm-list-lag-ms=100")
@@ -126,10 +126,8 @@
             children += list_children(process.pid)
             time.sleep(0.01)
         children += list_children(process.pid)
-        loaded = Path(f"/proc/{process.pid}/maps").read_text()
-        libraries = {
-            line.split()[-1] for line in loaded.splitlines() if "uvloop" in line
-        }
+        maps = Path(f"/proc/{process.pid}/maps").read_text()
+        libraries = {line.split()[-1] for line in maps.splitlines() if "uvloop" in line}
         process.terminate()
         assert process.wait(20) == 0, log.read_text()
     finally:
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""Guards the embedding examples: they run as they stand and open no socket."""
+"""Tests that the embedding examples run unchanged and open no socket."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
                 "ServeOn(member='strekk-3'",
                 "session read at Position(term=2, sequence=101): WaitForPosition(",
                 "aged read of at most 500 ms: ServeOn(member='strekk-3'",
-                "silent []: ServeReplicas(members=('strekk-3',)",
-                "silent ['strekk-2', 'strekk-3']: NoEvidence(",
+                "unresponsive []: ServeReplicas(members=('strekk-3',)",
+                "unresponsive ['strekk-2', 'strekk-3']: NoEvidence(",
             ),
         ),
         (
@@ -43,12 +43,12 @@
     ],
 )
 def test_example_runs_without_a_node(name: str, expected: tuple[str, ...]) -> None:
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", NO_SOCKETS, PROJECT / "examples" / name],
         capture_output=True,
         text=True,
         env=os.environ | {"PYTHONPATH": str(PROJECT / "src")},
     )
-    assert done.returncode == 0, done.stderr
+    assert result.returncode == 0, result.stderr
     for text in expected:
-        assert text in done.stdout
+        assert text in result.stdout
