--- a/benchmarks/capacity/budget.py
+++ b/benchmarks/capacity/budget.py
@@ -81,7 +81,7 @@
 
 
 def sum_node_bytes(
-    measured: Measurements, held: float, links: float
+    measured: Measurements, held_databases: float, links: float
 ) -> dict[str, float]:
     """Return control bytes per second of a node by mechanism."""
     change = measured.find("configuration change at one node", databases=DATABASES)
@@ -93,7 +93,7 @@
     vms = measured.find("list of VMs", nodes=NODES)
     token_bytes_per_s = PAIRS_PER_NODE * tokens["bytes_per_s"]["median"]
     return {
-        "status polls": held
+        "status polls": held_databases
         * measured.get_slope("status bytes a second by databases held"),
         "list of VMs": vms["bytes"] / VM_LIST_INTERVAL_S,
         "rate tokens, as holder": token_bytes_per_s,
@@ -108,7 +108,9 @@
     }
 
 
-def sum_node_cpu(measured: Measurements, held: float, links: float) -> dict[str, float]:
+def sum_node_cpu(
+    measured: Measurements, held_databases: float, links: float
+) -> dict[str, float]:
     """Return percent of a core that a node uses, by mechanism."""
     accept = measured.find("configuration accept", databases=DATABASES)
     vms = measured.find("list of VMs", nodes=NODES)
@@ -126,7 +128,8 @@
     messages_per_s = PAIRS_PER_NODE * tokens["messages_per_s"]["median"]
     requests_per_s = messages_per_s / 2
     return {
-        "status polls": held * measured.get_slope("core percent by databases held"),
+        "status polls": held_databases
+        * measured.get_slope("core percent by databases held"),
         "idle process": measured.find("node without clients", held=0)["core_percent"][
             "median"
         ],
@@ -225,17 +228,21 @@
 def main() -> None:
     """Print all budgets."""
     measured = Measurements(read_lines(Path(sys.argv[1])))
-    held = DATABASES * SLOTS / NODES
+    held_databases = DATABASES * SLOTS / NODES
     links = count_links()
     emit(
         "shape",
-        held_a_node=held,
+        held_a_node=held_databases,
         links_a_node=links,
         pairs_a_node=PAIRS_PER_NODE,
         ping_interval_s=PING_INTERVAL_S,
     )
-    emit_sum("node bytes a second", 2_000, sum_node_bytes(measured, held, links))
-    emit_sum("node percent of a core", 1.1, sum_node_cpu(measured, held, links))
+    emit_sum(
+        "node bytes a second", 2_000, sum_node_bytes(measured, held_databases, links)
+    )
+    emit_sum(
+        "node percent of a core", 1.1, sum_node_cpu(measured, held_databases, links)
+    )
     emit_sum("node memory MB", 128, sum_memory(measured, links))
     emit_sum("platform reads a second", 2_000, sum_reads(measured))
     emit_sum("platform writes a second", "several hundred", sum_writes())
--- a/benchmarks/pooler_decisions.py
+++ b/benchmarks/pooler_decisions.py
@@ -88,8 +88,8 @@
         make_attempt_plan(route, time.value_ms)
         plan = groups[route.group].plan_read(route, Position(1, 30), owner.name)
         assert plan is not None and plan.members
-        answer = ClientAnswer(TransactionState.IDLE, ("row",), "signature")
-        format_client_answer(answer)
+        response = ClientAnswer(TransactionState.IDLE, ("row",), "signature")
+        format_client_answer(response)
 
     best = min(timeit.repeat(decide, number=ROUNDS, repeat=3))
     return best / ROUNDS * 1e6
--- a/src/radishtrack/bench/client.py
+++ b/src/radishtrack/bench/client.py
@@ -20,7 +20,7 @@
 )
 from radishtrack.bench.schedule import Arrival, Operation
 
-RECONNECT_PAUSE_S: Final = 0.05
+RECONNECT_DELAY_S: Final = 0.05
 SESSION_ATTRIBUTE: Final = "radishtrack_session"
 
 
@@ -213,8 +213,9 @@
 ) -> ClientOutcome:
     """Run one request with retries, and record its outcome if it is a write.
 
-    A draining node is left for the next address. Only receipts are retried after an
-    unknown outcome, since their request ID makes that safe.
+    A request that a draining node refuses goes to the next address, at most once per
+    address. Only receipts are retried after an unknown outcome, since their request
+    ID makes that safe.
     """
     attempts_left = context.experiment.receipt_attempts
     moves_left = len(context.targets.addresses)
@@ -316,7 +317,7 @@
                 raise
             continue
         return session.connection
-    await asyncio.sleep(RECONNECT_PAUSE_S)
+    await asyncio.sleep(RECONNECT_DELAY_S)
     raise ConnectError(ClientOutcome.NOT_CONNECTED)
 
 
@@ -356,9 +357,9 @@
     session.connection = None
     session.address_number += 1
     session.moves += 1
-    by_attribute = context.experiment.roaming.carrier == "attribute"
-    attributes = {SESSION_ATTRIBUTE: token} if token and by_attribute else {}
-    session.carried_token = "" if by_attribute else token
+    uses_attribute = context.experiment.roaming.carrier == "attribute"
+    attributes = {SESSION_ATTRIBUTE: token} if token and uses_attribute else {}
+    session.carried_token = "" if uses_attribute else token
     try:
         session.connection = await open_connection(
             make_login(context, session, attributes),
--- a/src/radishtrack/bench/load.py
+++ b/src/radishtrack/bench/load.py
@@ -27,7 +27,7 @@
 )
 from radishtrack.bench.schedule import Arrival, make_schedule
 
-DRAIN_LIMIT_S: Final = 30.0
+FINISH_TIMEOUT_S: Final = 30.0
 
 
 @attrs.define(frozen=True)
@@ -80,7 +80,7 @@
 class _Queues:
     """Queued requests of each session."""
 
-    waiting: dict[tuple[str, int], asyncio.Queue[Arrival | None]]
+    by_session: dict[tuple[str, int], asyncio.Queue[Arrival | None]]
     latest_send_ms: float = 0.0
 
 
@@ -149,9 +149,9 @@
         for session in sessions
     ]
     await _dispatch(context, queues, result)
-    for queue in queues.waiting.values():
+    for queue in queues.by_session.values():
         queue.put_nowait(None)
-    _, unfinished = await asyncio.wait(workers, timeout=DRAIN_LIMIT_S)
+    _, unfinished = await asyncio.wait(workers, timeout=FINISH_TIMEOUT_S)
     for worker in unfinished:
         worker.cancel()
     for outcome in await asyncio.gather(*workers, return_exceptions=True):
@@ -171,7 +171,7 @@
         queues.latest_send_ms = max(
             queues.latest_send_ms, context.now_ms() - arrival.at_ms
         )
-        queue = queues.waiting[arrival.organisation, arrival.session]
+        queue = queues.by_session[arrival.organisation, arrival.session]
         if queue.qsize() < limit:
             queue.put_nowait(arrival)
         else:
@@ -185,7 +185,7 @@
 async def _serve_session(
     context: RunContext, session: Session, queues: _Queues, result: RunResult
 ) -> None:
-    queue = queues.waiting[session.organisation, session.index]
+    queue = queues.by_session[session.organisation, session.index]
     every_ms = context.experiment.roaming.every_s * 1000
     # Staggered, so that the sessions do not all move to one address at once.
     next_move_ms = every_ms * (1 + session.index % 7 / 7) if every_ms else float("inf")
--- a/src/radishtrack_standins/demo.py
+++ b/src/radishtrack_standins/demo.py
@@ -210,8 +210,8 @@
     )
     print(f"gap between acknowledged bookings: {gap_ms:.0f} ms")
     print(f"bookings acknowledged {len(ledger.acknowledged)}, rows {len(rows)}, ")
-    for name, found in findings.items():
-        print(f"{name}: {len(found)} {sorted(found)[:3] if found else ''}")
+    for name, entries in findings.items():
+        print(f"{name}: {len(entries)} {sorted(entries)[:3] if entries else ''}")
     for text, count in ledger.messages.most_common(3):
         print(f"{count} responses: {text}")
     ok = not any(findings.values()) and gap_ms < FAILOVER_LIMIT_MS
--- a/tests/test_bench_run.py
+++ b/tests/test_bench_run.py
@@ -78,9 +78,9 @@
         if markers[0].endswith("%"):
             shown = [m for m in self.rows[table] if m.startswith(markers[0][:-1])]
         else:
-            held = self.rows[table]
-            end = len(held) - (5 if self.hides_last_rows else 0)
-            shown = [marker for marker in held[: max(0, end)] if marker in markers]
+            rows = self.rows[table]
+            end = len(rows) - (5 if self.hides_last_rows else 0)
+            shown = [marker for marker in rows[: max(0, end)] if marker in markers]
         return [(marker,) for marker in shown], ["marker"]
 
 
