--- a/src/radishtrack/platform/member_link.py
+++ b/src/radishtrack/platform/member_link.py
@@ -67,7 +67,7 @@
             )
         except TimeoutError as error:
             self.connection.abort()
-            reason = f"no response within {timeout_ms:.0f} ms"
+            reason = f"no answer within {timeout_ms:.0f} ms"
             raise LinkLost(reason, is_sent=True) from error
         except (ConnectionEnded, WireError) as error:
             self.connection.abort()
