--- a/src/radishtrack/bench/schedule.py
+++ b/src/radishtrack/bench/schedule.py
@@ -11,7 +11,7 @@
 
 from radishtrack.bench.experiment import Experiment, Mix, OrganisationLoad
 
-MILLISECONDS_PER_SECOND = 1000.0
+MS_PER_S = 1000.0
 
 
 class Operation(enum.Enum):
@@ -89,7 +89,7 @@
         if is_within_rate:
             tokens -= 1
         yield Arrival(
-            at_s * MILLISECONDS_PER_SECOND,
+            at_s * MS_PER_S,
             load.name,
             rng.randrange(load.sessions),
             number,
--- a/src/radishtrack/config/store.py
+++ b/src/radishtrack/config/store.py
@@ -31,7 +31,7 @@
 CHUNK_KIND: Final = "config-chunk"
 
 MAX_WRITE_ATTEMPTS: Final = 5
-SECOND_MS: Final = 1_000.0
+MS_PER_S: Final = 1_000.0
 
 
 class WriteResult(enum.Enum):
@@ -212,7 +212,7 @@
             return Applied(manifest.revision, manifest.history[-1].changes)
         if result is WriteResult.CONFLICT:
             return await _resolve_conflict(store, manifest, base)
-        await asyncio.sleep(store.retry_pause_ms / SECOND_MS)
+        await asyncio.sleep(store.retry_pause_ms / MS_PER_S)
     return Unresolved(manifest.apply_id)
 
 
@@ -241,7 +241,7 @@
         result = await store.put(CHUNK_KIND, digest, encode_chunk(text), 0)
         if result is not WriteResult.UNKNOWN:
             return True
-        await asyncio.sleep(store.retry_pause_ms / SECOND_MS)
+        await asyncio.sleep(store.retry_pause_ms / MS_PER_S)
     return False
 
 
--- a/src/radishtrack/keys/store.py
+++ b/src/radishtrack/keys/store.py
@@ -9,7 +9,7 @@
 import attrs
 
 from radishtrack.config.store import (
-    SECOND_MS,
+    MS_PER_S,
     ObjectStore,
     StoreUnavailable,
     WriteResult,
@@ -112,7 +112,7 @@
         result = await store.put(KIND, organisation, value, version)
         if result is WriteResult.WRITTEN:
             return updated
-        await asyncio.sleep(store.retry_pause_ms / SECOND_MS)
+        await asyncio.sleep(store.retry_pause_ms / MS_PER_S)
     raise StoreUnavailable(
         f"the keys of {organisation} could not be updated in "
         f"{MAX_WRITE_ATTEMPTS} attempts"
--- a/src/radishtrack/metrics.py
+++ b/src/radishtrack/metrics.py
@@ -19,7 +19,7 @@
 """Above the target scale of 1,000; further organisations share the label `OTHER`."""
 
 OTHER: Final = "other"
-SECOND_MS: Final = 1_000.0
+MS_PER_S: Final = 1_000.0
 
 STATEMENT_CLASSES: Final = ("strict", "session", "aged", "write", "transaction")
 OUTCOMES: Final = ("ran", "not run", "unknown")
@@ -75,7 +75,7 @@
         """Record a finished statement and its duration in milliseconds."""
         name = self._bound_organisation(organisation)
         label = _bound_label(statement_class, STATEMENT_CLASSES)
-        self.latency.labels(name, label).observe(elapsed_ms / SECOND_MS)
+        self.latency.labels(name, label).observe(elapsed_ms / MS_PER_S)
         self.outcomes.labels(name, _bound_label(outcome, OUTCOMES)).inc()
 
     def count_read(self, role: str) -> None:
@@ -85,7 +85,7 @@
     def observe_queue_wait(self, organisation: str, wait_ms: float) -> None:
         """Record the time in milliseconds that a request waited for a connection."""
         name = self._bound_organisation(organisation)
-        self.queue_wait.labels(name).observe(wait_ms / SECOND_MS)
+        self.queue_wait.labels(name).observe(wait_ms / MS_PER_S)
 
     def count_refusal(self, organisation: str, reason: str) -> None:
         """Count a request that was refused before it ran."""
--- a/src/radishtrack/objects/budget.py
+++ b/src/radishtrack/objects/budget.py
@@ -12,7 +12,7 @@
 DEFAULT_BURST_CALLS: Final = 40.0
 INITIAL_BACKOFF_MS: Final = 50.0
 MAX_BACKOFF_MS: Final = 10_000.0
-MILLISECONDS_PER_SECOND: Final = 1000.0
+MS_PER_S: Final = 1000.0
 
 Random = Callable[[], float]
 """Returns numbers in [0, 1), like `random.random`."""
@@ -66,13 +66,13 @@
         no token is consumed then.
     """
     elapsed_ms = max(0.0, now_ms - budget.updated_ms)
-    refilled_tokens = elapsed_ms * budget.rate_per_s / MILLISECONDS_PER_SECOND
+    refilled_tokens = elapsed_ms * budget.rate_per_s / MS_PER_S
     budget.tokens = min(budget.burst_calls, budget.tokens + refilled_tokens)
     budget.updated_ms = max(budget.updated_ms, now_ms)
     missing_tokens = priority.reserve * budget.burst_calls + 1.0 - budget.tokens
     # The tolerance keeps rounding errors of the refill from delaying a call.
     if missing_tokens > 1e-9:
-        return missing_tokens * MILLISECONDS_PER_SECOND / budget.rate_per_s
+        return missing_tokens * MS_PER_S / budget.rate_per_s
     budget.tokens -= 1.0
     return 0.0
 
--- a/src/radishtrack/pooler/rate_limit.py
+++ b/src/radishtrack/pooler/rate_limit.py
@@ -10,7 +10,7 @@
 from radishtrack.pooler.catalog import Organisation
 from radishtrack.pooler.shares import DELEGATION_MS, GRANT_MS, even_share
 
-SECOND_MS: Final = 1_000.0
+MS_PER_S: Final = 1_000.0
 PREFETCH_MIN_USED: Final = 4
 """Tokens used since the last exchange from which on more are requested in advance.
 With fewer, most tokens would expire unused, which costs small organisations their
@@ -42,7 +42,7 @@
         """Add the tokens due since the last refill."""
         elapsed_ms = max(0.0, now_ms - self.updated_ms)
         self.updated_ms = max(self.updated_ms, now_ms)
-        added = self.rate_per_s * elapsed_ms / SECOND_MS
+        added = self.rate_per_s * elapsed_ms / MS_PER_S
         self.tokens = min(self.burst, self.tokens + added)
 
     def reset(self, now_ms: float) -> None:
