--- a/src/radishtrack/cli/_node.py
+++ b/src/radishtrack/cli/_node.py
@@ -54,8 +54,8 @@
         run_status,
         summary="show nodes, primaries and the configuration's revision",
         text="""
-        Shows the state of the fleet that the platform stores. Its list of nodes may be
-        seconds old.
+        Shows the state of the fleet as the platform stores it. The list of nodes may
+        be seconds old.
 
         examples:
           radishtrack status --platform http://127.0.0.1:8500
--- a/src/radishtrack/cli/_usage.py
+++ b/src/radishtrack/cli/_usage.py
@@ -88,7 +88,7 @@
 
     objects: tuple[NamedObject, ...] = await platform.list_objects(USAGE_KIND)
     # Read after the reports, so that a report that is folded into the summary meanwhile
-    # is not counted twice.
+    # is not missing from both; `total_usage` counts it once.
     stored = await platform.store.get(USAGE_KIND, SUMMARY_NAME)
     summary = decode_summary(stored.value) if stored else UsageSummary()
     reports = [
--- a/src/radishtrack/frontend/connection.py
+++ b/src/radishtrack/frontend/connection.py
@@ -171,7 +171,7 @@
 
 
 class ClientConnection(Connection):
-    """Connection that reports affected rows, ends failed logins and resets sessions."""
+    """Reports affected rows, resets sessions, and closes after a failed login."""
 
     next_ok: OkFields | None = None
     stream: Any
--- a/src/radishtrack/objects/client.py
+++ b/src/radishtrack/objects/client.py
@@ -335,7 +335,7 @@
     def _record_contact(
         self, sent_ms: float, wait_ms: float, response: _Response
     ) -> None:
-        """Set `last_contact_ms` to the earliest time of the response's production.
+        """Record the earliest time at which the platform can have produced a response.
 
         A delayed response must not make its data look fresh. The response of a watch
         without changes was produced after the whole wait.
--- a/src/radishtrack/peer/messages.py
+++ b/src/radishtrack/peer/messages.py
@@ -63,7 +63,7 @@
     request : int
         Identifies the request on this connection.
     session : int
-        Identifies the client's session on this connection, which owns transactions.
+        Identifies the client's session on this connection; sessions own transactions.
     organisation : str
         The organisation that the client's key belongs to.
     database : str
@@ -73,7 +73,7 @@
     kind : str
         A value of `radishtrack.routing.statement.Kind`.
     read_class : str
-        ``"strict"``, ``"session"`` or ``"aged"``; ignored if the statement is no read.
+        ``"strict"``, ``"session"`` or ``"aged"``; used for reads only.
     max_age_ms : float
         Maximum age of the data in milliseconds, for aged reads.
     term, sequence : int
@@ -84,8 +84,8 @@
         Remaining time for the request in milliseconds; relative, because the clocks of
         two nodes have no common origin.
     dirties_session : bool
-        Whether the statement leaves state in its database connection, which must not
-        be reused then.
+        Whether the statement leaves state in its database connection, which then must
+        not be reused.
     """
 
     request: int
--- a/src/radishtrack/platform/frontend.py
+++ b/src/radishtrack/platform/frontend.py
@@ -65,7 +65,7 @@
             self.server.close()
 
     def close_idle(self) -> None:
-        """Close idle connections, now and from now on after each response."""
+        """Close idle connections now and the others as soon as they become idle."""
         self.is_closing_idle = True
         for client in tuple(self.clients):
             if client.is_closable:
--- a/src/radishtrack/platform/main.py
+++ b/src/radishtrack/platform/main.py
@@ -36,7 +36,7 @@
 SETTINGS_POLL_S: Final = 2.0
 """Interval of checks of the settings file, which may change without a signal."""
 STOP_POLL_S: Final = 0.1
-"""Interval of checks whether a stopping node may exit."""
+"""Interval at which a stopping node checks whether it may exit."""
 EXIT_CODE_SETTINGS: Final = 2
 
 
@@ -121,7 +121,7 @@
 
 
 async def stop_node(node: Node, frontend: Frontend) -> None:
-    """Stop accepting clients, let requests finish, return when the process may exit."""
+    """Stop accepting clients, let requests end and return when the process may exit."""
     plan = node.begin_stop()
     while (now_ms := node.clock.now_ms()) < plan.exit_ms:
         if now_ms >= plan.accept_until_ms:
--- a/src/radishtrack/platform/promotion_order.py
+++ b/src/radishtrack/platform/promotion_order.py
@@ -1,4 +1,4 @@
-"""Promotion orders to the platform."""
+"""Orders promotions at the platform."""
 
 from __future__ import annotations
 
--- a/src/radishtrack/platform/settings.py
+++ b/src/radishtrack/platform/settings.py
@@ -13,7 +13,7 @@
 SETTINGS_VARIABLE: Final = "RADISHTRACK_SETTINGS"
 KEY_AGE_LIMIT_FRACTION: Final = 0.6
 """Fraction of the bound on revoked keys after which a node that can't confirm its copy
-refuses keys. It is not expected to serve from then on; the rest is margin."""
+refuses keys. Nothing requires it to serve after that; the rest is margin."""
 MS_PER_S: Final = 1_000.0
 
 
@@ -44,7 +44,7 @@
     grace_ms : float
         Time between SIGTERM and SIGKILL.
     key_age_limit_ms : float or None
-        Age of the configuration above which keys are refused; None without a bound.
+        Age of the configuration from which on keys are refused; None without a bound.
     """
 
     node: str
--- a/src/radishtrack/platform/wire.py
+++ b/src/radishtrack/platform/wire.py
@@ -1,4 +1,4 @@
-"""Messages of the platform's line protocol, decoded into typed statements and back."""
+"""Parsing and formatting of messages of the platform's line protocol."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from radishtrack.session.position import Position
 
 INTERNAL_STATEMENT_ID: Final = "-"
-"""Identifier of statements of the node itself."""
+"""Identifier in messages that carry no client's statement ID."""
 NO_SIGNATURE: Final = "-"
 
 ERROR_CODES: Final = {
@@ -226,7 +226,13 @@
 
 
 def parse_refusal(line: str) -> Refusal:
-    """Return why a member did not accept a connection."""
+    """Return why a member did not accept a connection.
+
+    Raises
+    ------
+    WireError
+        If the line is not an error message.
+    """
     words = line.split(" ")
     if words[0] != "ERROR" or len(words) < 2:
         raise WireError(f"expected READY or ERROR, not {line[:40]!r}")
@@ -249,7 +255,7 @@
             member="",
             role=_ROLES[role],
             term=int(term),
-            # End of the received log; the last `lag` of it may not be applied yet.
+            # End of the received log; its last `lag_ms` may not be applied yet.
             position=position or Position(0, 0),
             # "Held" is the term for which the member stopped receiving; 0 if none.
             fenced_term=int(held),
--- a/tests/test_peer_link.py
+++ b/tests/test_peer_link.py
@@ -1,4 +1,4 @@
-"""Tests that responses of peers are complete, well assigned and have an outcome."""
+"""Tests responses of peers: complete, for the right request, with an outcome."""
 
 from __future__ import annotations
 
--- a/tests/test_platform_client.py
+++ b/tests/test_platform_client.py
@@ -1,4 +1,4 @@
-"""Guards how the client reports writes with an effect, without one and unknown."""
+"""Tests that the client reports whether a write took effect, did not or may have."""
 
 from __future__ import annotations
 
@@ -169,7 +169,7 @@
     assert (stored.value == OWN_VALUE) == isinstance(result, Written)
 
 
-async def test_an_own_late_write_between_read_and_retry(
+async def test_a_late_write_of_the_client_between_read_and_retry(
     platform: RunningPlatform,
     client: PlatformClient,
     monkeypatch: pytest.MonkeyPatch,
