--- a/src/radishtrack_standins/cluster.py
+++ b/src/radishtrack_standins/cluster.py
@@ -217,7 +217,7 @@
         ports = self.members[member].ports
         self.members[member] = start_standin(
             "member",
-            *member_arguments(self.plan, self.directory, member),
+            *make_member_arguments(self.plan, self.directory, member),
             *(f"--{name.replace('_', '-')}={port}" for name, port in ports.items()),
         )
 
@@ -251,7 +251,7 @@
     return json.loads(text) if text.strip()[:1] in (b"{", b"[") else None
 
 
-def member_arguments(plan: ClusterPlan, directory: Path, name: str) -> list[str]:
+def make_member_arguments(plan: ClusterPlan, directory: Path, name: str) -> list[str]:
     """Return the command line of a member without its ports and source."""
     return [
         f"--name={name}",
@@ -268,7 +268,7 @@
     members: dict[str, StandinProcess] = {}
     for number in range(1, plan.members + 1):
         name = f"m{number}"
-        arguments = member_arguments(plan, directory, name)
+        arguments = make_member_arguments(plan, directory, name)
         if members:
             arguments.append(f"--source={HOST}:{members['m1'].ports['port']}")
         members[name] = start_standin("member", *arguments)
@@ -304,10 +304,10 @@
         cluster.proxies.append(make_proxy(cluster, f"p{number}", zone))
     for proxy in cluster.proxies:
         proxy.start()
-    wait_ready(cluster)
+    wait_until_ready(cluster)
 
 
-def wait_ready(cluster: Cluster) -> None:
+def wait_until_ready(cluster: Cluster) -> None:
     """Wait until all proxies are ready.
 
     Raises
--- a/src/radishtrack_standins/faults/world.py
+++ b/src/radishtrack_standins/faults/world.py
@@ -19,9 +19,9 @@
     ClusterPlan,
     call_json,
     make_group_value,
+    make_member_arguments,
     make_proxy,
-    member_arguments,
-    wait_ready,
+    wait_until_ready,
 )
 from radishtrack_standins.faults.client import Client, make_client
 from radishtrack_standins.launch import StandinProcess, start_standin
@@ -200,7 +200,7 @@
     cluster = world.cluster
     for number in range(1, cluster.plan.members + 1):
         name = f"m{number}"
-        arguments = member_arguments(cluster.plan, cluster.directory, name)
+        arguments = make_member_arguments(cluster.plan, cluster.directory, name)
         if cluster.members:
             arguments.append(f"--source={HOST}:{cluster.members['m1'].ports['port']}")
         member = start_standin("member", *arguments)
@@ -242,7 +242,7 @@
             proxy.settings.write_text(text)
     for proxy in cluster.proxies:
         proxy.start()
-    wait_ready(cluster)
+    wait_until_ready(cluster)
 
 
 def close_world(world: World) -> None:
--- a/src/radishtrack_standins/line_member.py
+++ b/src/radishtrack_standins/line_member.py
@@ -57,7 +57,7 @@
     open_connections: set[LineConnection] = attrs.field(factory=set)
     ran: list[tuple[str, str, str]] = attrs.field(factory=list)
     """Organisation, statement identifier and text of what ran."""
-    values_seen: list[dict[str, str]] = attrs.field(factory=list)
+    session_values: list[dict[str, str]] = attrs.field(factory=list)
     opened: int = 0
     server: asyncio.Server | None = None
     port: int = 0
@@ -205,7 +205,7 @@
         if member.on_run is not None:
             member.on_run(self.organisation, statement_id)
         member.ran.append((self.organisation, statement_id, text))
-        member.values_seen.append(dict(self.values))
+        member.session_values.append(dict(self.values))
         return [*rows, f"COMPLETE {member.name}.{next(member.signatures)}"]
 
 
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -27,7 +27,7 @@
     Cluster,
     ClusterPlan,
     start_cluster,
-    wait_ready,
+    wait_until_ready,
 )
 
 ORGANISATION = "storgata-sport"
@@ -96,7 +96,7 @@
     proxy.settings.write_text(text)
     proxy.stop()
     proxy.start()
-    wait_ready(cluster)
+    wait_until_ready(cluster)
 
 
 def certificate_path(cluster: Cluster) -> Path:
--- a/tests/test_pooler_path.py
+++ b/tests/test_pooler_path.py
@@ -64,7 +64,7 @@
         await first.execute("EXECUTE s 1a4")
         await second.execute("EXECUTE s 1a4 x")
         await first.execute("EXECUTE s 1a4")
-        assert simulation.primary.values_seen == [{"lang": "nb"}, {}, {"lang": "nb"}]
+        assert simulation.primary.session_values == [{"lang": "nb"}, {}, {"lang": "nb"}]
         assert [text.split(" ")[-3:][0:2] for _, _, text in simulation.primary.ran][
             1
         ] == [
