--- a/src/radishtrack_standins/cluster.py
+++ b/src/radishtrack_standins/cluster.py
@@ -1,4 +1,4 @@
-"""A small deployment on one machine: platform, members and proxies as processes."""
+"""A deployment on one machine: platform, members and proxies as processes."""
 
 from __future__ import annotations
 
@@ -21,31 +21,35 @@
 
 from radishtrack_standins.launch import SOURCE_DIRECTORY, StandinProcess, start_standin
 
-SECRET: Final = "demonstration-secret-of-the-fleet"
+PEER_SECRET: Final = "demonstration-secret-of-the-fleet"
 START_TIMEOUT_S: Final = 20.0
 HOST: Final = "127.0.0.1"
 
 
 @attrs.define(frozen=True)
 class ClusterPlan:
-    """What to start.
+    """Layout and limits of a deployment.
 
     Parameters
     ----------
     zones : tuple of str
-        Availability zone of each proxy.
+        Availability zone of each proxy; one proxy is started for each.
     region : str
         Region of the proxies and the database.
     database : str
         Name of the database.
     slots, connections : int
-        As in the configuration.
+        Slots and connections of the database in the configuration.
     organisations : tuple of tuple
         Name, rate and burst of each organisation.
     members : int
         Number of members.
     lag_ms : float
         Replication lag in milliseconds.
+    request_timeout_ms, drain_timeout_ms : int
+        Limits in the settings of the proxies.
+    vm_list_lag_ms : float
+        Time after which the platform's VM list shows a change.
     """
 
     zones: tuple[str, ...] = ("oslo-a", "oslo-b")
@@ -66,7 +70,7 @@
 
 @attrs.define
 class ProxyProcess:
-    """One proxy and its addresses."""
+    """One proxy process with its ports, settings and log."""
 
     name: str
     zone: str
@@ -78,7 +82,7 @@
     process: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
-        """Start the process; its log goes to a file."""
+        """Start the process; its output is appended to the log file."""
         with self.log.open("ab") as log:
             self.process = subprocess.Popen(
                 [
@@ -95,18 +99,21 @@
             )
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to the process."""
+        """Send a signal to the process, if it runs."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait until it has ended."""
         if self.process is not None and self.process.poll() is None:
             self.process.kill()
             self.process.wait(5)
 
     def stop(self, timeout_s: float = 20.0) -> int:
-        """Ask the process to stop and return its exit code."""
+        """Terminate the process and return its exit code.
+
+        A process that does not end in time is killed; the result is then -1.
+        """
         if self.process is None:
             return 0
         self.signal(signal.SIGCONT)
@@ -118,20 +125,20 @@
             return -1
 
     def is_ready(self) -> bool:
-        """Whether the proxy reports itself ready."""
+        """Return whether the proxy reports that it is ready."""
         try:
             with urllib.request.urlopen(
                 f"http://{HOST}:{self.admin_port}/readyz", timeout=1
-            ) as answer:
-                return int(answer.status) == 200
+            ) as response:
+                return int(response.status) == 200
         except (OSError, http.client.HTTPException):
-            # Another process may have taken the port since it was chosen.
+            # Another process may have bound the port since it was chosen.
             return False
 
 
 @attrs.define
 class Cluster:
-    """A running deployment."""
+    """A running deployment; made by `start_cluster`."""
 
     plan: ClusterPlan
     directory: Path
@@ -146,17 +153,17 @@
         return f"http://{HOST}:{self.platform.ports['port']}"
 
     def call_platform(self, method: str, path: str, body: Any = None) -> Any:
-        """Call the platform's HTTP API and return the JSON answer."""
+        """Call the platform's HTTP API and return the JSON response."""
         return call_json(method, self.platform_url + path, body)
 
     def get_record(self) -> dict[str, Any]:
         """Return the group record of the database."""
-        found = self.call_platform("GET", f"/objects/groups/{self.plan.database}")
-        value: dict[str, Any] = found["value"]
+        response = self.call_platform("GET", f"/objects/groups/{self.plan.database}")
+        value: dict[str, Any] = response["value"]
         return value
 
     def primary(self) -> str:
-        """Return the recorded primary."""
+        """Return the name of the primary in the group record."""
         return str(self.get_record()["primary"])
 
     def control_member(self, member: str, switches: dict[str, Any]) -> None:
@@ -169,14 +176,14 @@
         self.call_platform("POST", "/control", switches)
 
     def read_rows(self, member: str, table: str) -> list[list[Any]]:
-        """Return all rows of a table at one member."""
+        """Return all rows of a table on one member."""
         port = self.members[member].ports["control_port"]
-        answer = call_json("GET", f"http://{HOST}:{port}/rows/{table}")
-        rows: list[list[Any]] = answer["rows"]
+        response = call_json("GET", f"http://{HOST}:{port}/rows/{table}")
+        rows: list[list[Any]] = response["rows"]
         return rows
 
     def run_cli(self, *arguments: str) -> subprocess.CompletedProcess[str]:
-        """Run the command line tool against this deployment."""
+        """Run the command-line tool and capture its output."""
         return subprocess.run(
             [sys.executable, "-m", "radishtrack.cli.main", *arguments],
             capture_output=True,
@@ -188,7 +195,10 @@
     def apply_configuration(
         self, organisations: tuple[tuple[str, float, int], ...], revision: int
     ) -> subprocess.CompletedProcess[str]:
-        """Apply the configuration with these organisations as an operator would."""
+        """Apply a configuration with these organisations through the command line.
+
+        ``revision`` is the revision that the configuration replaces.
+        """
         path = self.directory / f"configuration-{revision}.toml"
         path.write_text(make_configuration(self, organisations))
         return self.run_cli(
@@ -202,18 +212,24 @@
         )
 
     def issue_key(self, organisation: str) -> str:
-        """Issue a key and remember it."""
-        done = self.run_cli(
+        """Issue a key for an organisation, store it in `keys` and return it.
+
+        Raises
+        ------
+        RuntimeError
+            If the command fails.
+        """
+        command = self.run_cli(
             "keys", "issue", organisation, "--platform", self.platform_url
         )
-        if done.returncode:
-            raise RuntimeError(done.stderr)
-        key = done.stdout.strip().splitlines()[-1]
+        if command.returncode:
+            raise RuntimeError(command.stderr)
+        key = command.stdout.strip().splitlines()[-1]
         self.keys[organisation] = key
         return key
 
     def restart_member(self, member: str) -> None:
-        """Start a member again on its ports and data, as a replica of nobody yet."""
+        """Start a member again with its ports and its stored data and group state."""
         ports = self.members[member].ports
         self.members[member] = start_standin(
             "member",
@@ -222,7 +238,7 @@
         )
 
     async def wait_until(self, condition: Any, timeout_s: float = 15.0) -> bool:
-        """Poll a condition; return whether it became true in time."""
+        """Poll a condition in a thread; return whether it became true in time."""
         end = time.monotonic() + timeout_s
         while time.monotonic() < end:
             if await asyncio.to_thread(condition):
@@ -241,18 +257,18 @@
 
 
 def call_json(method: str, url: str, body: Any = None) -> Any:
-    """Send a JSON request and return the JSON answer, or None if it is empty."""
+    """Send a JSON request and return the JSON response, or None if it has none."""
     data = None if body is None else json.dumps(body).encode()
     request = urllib.request.Request(
         url, data, {"Content-Type": "application/json"}, method=method
     )
-    with urllib.request.urlopen(request, timeout=5) as answer:
-        text = answer.read()
+    with urllib.request.urlopen(request, timeout=5) as response:
+        text = response.read()
     return json.loads(text) if text.strip()[:1] in (b"{", b"[") else None
 
 
 def make_member_arguments(plan: ClusterPlan, directory: Path, name: str) -> list[str]:
-    """Return the command line of a member without its ports and source."""
+    """Return the command-line arguments of a member without ports and source."""
     return [
         f"--name={name}",
         f"--directory={directory / name}",
@@ -262,7 +278,13 @@
 
 
 def start_cluster(plan: ClusterPlan) -> Cluster:
-    """Start a deployment, apply its configuration and issue one key each."""
+    """Start a deployment, apply its configuration and issue a key per organisation.
+
+    Raises
+    ------
+    RuntimeError
+        If a step fails; all processes are stopped first.
+    """
     directory = Path(tempfile.mkdtemp(prefix="radishtrack-"))
     platform = start_standin("platform", f"--vm-list-lag-ms={plan.vm_list_lag_ms}")
     members: dict[str, StandinProcess] = {}
@@ -274,15 +296,15 @@
         members[name] = start_standin("member", *arguments)
     cluster = Cluster(plan, directory, platform, members, [])
     try:
-        prepare(cluster)
+        set_up(cluster)
     except BaseException:
         cluster.close()
         raise
     return cluster
 
 
-def prepare(cluster: Cluster) -> None:
-    """Store the group record and the configuration, issue keys, start the proxies.
+def set_up(cluster: Cluster) -> None:
+    """Store the group record and configuration, issue keys and start the proxies.
 
     Raises
     ------
@@ -313,14 +335,14 @@
     Raises
     ------
     RuntimeError
-        With the log of a proxy that isn't ready in time.
+        If a proxy is not ready in time; the message has the end of its log.
     """
     end = time.monotonic() + START_TIMEOUT_S
     for proxy in cluster.proxies:
         while not proxy.is_ready():
             if proxy.process is not None and proxy.process.poll() is not None:
-                # Another process took one of its ports since they were chosen.
-                change_ports(proxy)
+                # Another process may have bound one of the ports since the choice.
+                replace_ports(proxy)
                 proxy.start()
             if time.monotonic() > end:
                 log = proxy.log.read_text()[-3000:]
@@ -329,7 +351,7 @@
 
 
 def make_proxy(cluster: Cluster, name: str, zone: str) -> ProxyProcess:
-    """Write the settings of a proxy with free ports."""
+    """Write the settings of a proxy with free ports and return the proxy."""
     client_port, peer_port, admin_port = find_free_ports(3)
     path = cluster.directory / f"{name}.toml"
     seeds = ", ".join(f'"{HOST}:{proxy.peer_port}"' for proxy in cluster.proxies)
@@ -349,7 +371,7 @@
 [platform]
 url = "{cluster.platform_url}"
 [peers]
-secret = "{SECRET}"
+secret = "{PEER_SECRET}"
 seeds = [{seeds}]
 [database_login]
 user = "radishtrack"
@@ -365,20 +387,20 @@
     return ProxyProcess(name, zone, client_port, peer_port, admin_port, path, log)
 
 
-def change_ports(proxy: ProxyProcess) -> None:
-    """Choose other ports for a proxy and write them into its settings."""
+def replace_ports(proxy: ProxyProcess) -> None:
+    """Choose new ports for a proxy and write them into its settings."""
     text = proxy.settings.read_text()
     ports = find_free_ports(3)
-    old = (proxy.client_port, proxy.peer_port, proxy.admin_port)
+    old_ports = (proxy.client_port, proxy.peer_port, proxy.admin_port)
     names = ("client_port", "peer_port", "admin_port")
-    for name, before, port in zip(names, old, ports, strict=True):
-        text = text.replace(f"{name} = {before}", f"{name} = {port}")
+    for name, old_port, port in zip(names, old_ports, ports, strict=True):
+        text = text.replace(f"{name} = {old_port}", f"{name} = {port}")
     proxy.settings.write_text(text)
     proxy.client_port, proxy.peer_port, proxy.admin_port = ports
 
 
 def find_free_ports(count: int) -> list[int]:
-    """Return ports that were free a moment ago."""
+    """Return distinct free ports; other processes can bind them meanwhile."""
     with contextlib.ExitStack() as stack:
         ports = []
         for _ in range(count):
@@ -389,7 +411,7 @@
 
 
 def make_group_value(cluster: Cluster) -> dict[str, Any]:
-    """Return the first group record."""
+    """Return the initial value of the group record."""
     return {
         "term": 1,
         "primary": "m1",
@@ -410,7 +432,7 @@
 def make_configuration(
     cluster: Cluster, organisations: tuple[tuple[str, float, int], ...]
 ) -> str:
-    """Return the operators' text of the deployment."""
+    """Return the configuration of the deployment as TOML."""
     plan = cluster.plan
     parts = ['[[owner]]\nname = "fjellsko"\n']
     parts += [
--- a/src/radishtrack_standins/launch.py
+++ b/src/radishtrack_standins/launch.py
@@ -1,4 +1,4 @@
-"""Starts stand-ins as processes, for tests and the demonstration only."""
+"""Starts stand-ins as processes; for tests and the demonstration only."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
 
 @attrs.define
 class StandinProcess:
-    """A stand-in process and the ports that it printed."""
+    """A stand-in process and its ports by name."""
 
     process: subprocess.Popen[str]
     ports: dict[str, int]
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait until it has ended."""
         self.process.kill()
         self.process.wait(STOP_TIMEOUT_S)
 
     def pause(self) -> None:
-        """Stop the process without its knowledge."""
+        """Suspend the process with SIGSTOP."""
         self.process.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Continue a paused process."""
+        """Resume a paused process."""
         self.process.send_signal(signal.SIGCONT)
 
     def stop(self) -> None:
-        """Ask the process to end, and kill it if it does not."""
+        """Terminate the process; kill it if it does not end in time."""
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGCONT)
             self.process.terminate()
@@ -57,12 +57,12 @@
     module : str
         ``member``, ``platform`` or ``relay``.
     arguments : str
-        Command line; ports that are not given are free ones.
+        Command-line arguments; ports default to free ones.
 
     Raises
     ------
     RuntimeError
-        If the process ends before it listens.
+        If the process does not report its ports.
     """
     process = subprocess.Popen(
         [sys.executable, "-m", f"radishtrack_standins.{module}", *arguments],
@@ -72,8 +72,8 @@
     )
     assert process.stdout is not None
     line = process.stdout.readline()
-    found = re.findall(r"(\w*port)=(\d+)", line)
-    if not found:
+    ports = re.findall(r"(\w*port)=(\d+)", line)
+    if not ports:
         process.kill()
-        raise RuntimeError(f"{module} did not start: {line!r}")
-    return StandinProcess(process, {name: int(port) for name, port in found})
+        raise RuntimeError(f"{module} stand-in reported no ports: {line!r}")
+    return StandinProcess(process, {name: int(port) for name, port in ports})
--- a/src/radishtrack_standins/line_member.py
+++ b/src/radishtrack_standins/line_member.py
@@ -13,27 +13,28 @@
 
 @attrs.define
 class MemberFaults:
-    """What a test makes a member do wrong."""
+    """Faults that a test sets; none at first."""
 
-    is_silent: bool = False
-    """Reads and answers nothing, also on open connections."""
+    is_unresponsive: bool = False
+    """Sends no responses, not even on open connections."""
     lose_answers: int = 0
-    """Runs so many more reads, writes and commits without answering."""
+    """Number of next reads, writes and commits that run but lose their response."""
     refuse_with: str = ""
-    """Code with which all reads and writes are refused."""
+    """Error code with which all reads and writes are refused; empty for none."""
     work_ms: float = 0.0
+    """Delay before each statement runs."""
 
 
 @attrs.define(eq=False)
 class LineMember:
-    """State of a member; `start` listens.
+    """A member of a group; `start` opens its port.
 
     Parameters
     ----------
     group : str
         Name of the service.
     name : str
-        Identifier that connections may name.
+        Name of the member; a client can require it when it connects.
     role : str
         ``primary`` or ``replica``.
     """
@@ -50,18 +51,20 @@
     replicas: list[LineMember] = attrs.field(factory=list)
     replicas_apply: bool = True
     replicate: Callable[[str], bool] | None = None
-    """Appends a commit to the group's logs instead of this class, and tells whether a
-    replica has it; one that no replica has is never answered."""
+    """Replaces this class's own replication: appends a commit to the group's logs and
+    returns whether a replica has received it. If none has, the commit gets no
+    response."""
     on_run: Callable[[str, str], None] | None = None
-    """Told organisation and identifier of each statement that runs."""
+    """Called with organisation and identifier of each statement that runs."""
     open_connections: set[LineConnection] = attrs.field(factory=set)
     ran: list[tuple[str, str, str]] = attrs.field(factory=list)
-    """Organisation, statement identifier and text of what ran."""
+    """Organisation, identifier and text of each statement that ran."""
     session_values: list[dict[str, str]] = attrs.field(factory=list)
+    """Session values (`SET`) with which each of these statements ran."""
     opened: int = 0
     server: asyncio.Server | None = None
     port: int = 0
-    signatures: Iterator[int] = attrs.field(factory=lambda: itertools.count(1))
+    result_numbers: Iterator[int] = attrs.field(factory=lambda: itertools.count(1))
 
     async def start(self, port: int = 0) -> None:
         """Listen on the loopback interface."""
@@ -79,13 +82,13 @@
             connection.abort()
 
     def promote(self) -> None:
-        """Lead the next term with what was received."""
+        """Become the primary of the next term with all received commits."""
         self.term, self.role, self.fenced_term = self.term + 1, "primary", 0
         self.applied = self.received
 
     @property
     def position(self) -> str:
-        """What a read sees."""
+        """Position up to which a read sees the log."""
         return f"{self.term}.{self.applied}"
 
     def _accept(self, connection: LineConnection) -> None:
@@ -96,17 +99,17 @@
 
 
 @attrs.define
-class _Connection:
+class _Session:
     member: LineMember
     organisation: str
     values: dict[str, str] = attrs.field(factory=dict)
     prepared: dict[str, str] = attrs.field(factory=dict)
     state: str = "I"
-    wrote: bool = False
+    has_written: bool = False
     is_read_only: bool = False
 
-    def answer(self, statement_id: str, text: str) -> list[str]:
-        """Return the lines that answer a statement, without `READY`."""
+    def run_statement(self, statement_id: str, text: str) -> list[str]:
+        """Run a statement; return the lines of its response without `READY`."""
         member = self.member
         words = text.split(" ")
         if words[0] == "SINCE":
@@ -115,17 +118,17 @@
             words = words[2:]
         match words:
             case ["STATUS"]:
-                return self._report()
+                return self._make_status()
             case ["PAUSE", term]:
                 member.fenced_term = int(term)
-                return self._report()
+                return self._make_status()
             case ["RESUME"]:
                 member.fenced_term = 0
-                return self._report()
+                return self._make_status()
             case ["STEPDOWN", term]:
                 if int(term) > member.term:
                     member.role = "replica"
-                return self._report()
+                return self._make_status()
             case ["SET", name, value]:
                 self.values[name] = value
             case ["PREPARE", name, mode, _]:
@@ -136,7 +139,7 @@
             case ["BEGIN", *mode]:
                 if not mode and member.role != "primary":
                     return [f"ERROR READONLY {member.name}"]
-                self.state, self.wrote = "T", False
+                self.state, self.has_written = "T", False
             case ["ROLLBACK"]:
                 self.state = "I"
             case ["COMMIT"]:
@@ -147,7 +150,7 @@
                 return [f"ERROR MALFORMED {words[0]}"]
         return ["COMPLETE -"]
 
-    def _report(self) -> list[str]:
+    def _make_status(self) -> list[str]:
         member = self.member
         row = (
             f"DATAROW {member.role} {member.term} {member.term}.{member.received} "
@@ -158,11 +161,11 @@
     def _commit(self, statement_id: str, text: str) -> list[str]:
         member = self.member
         self.state = "I"
-        if self.wrote:
+        if self.has_written:
             if member.role != "primary":
                 return [f"ERROR READONLY {member.name}"]
             self._append(statement_id)
-        return self._succeed(statement_id, text, [])
+        return self._complete(statement_id, text, [])
 
     def _execute(self, statement_id: str, text: str, words: list[str]) -> list[str]:
         member = self.member
@@ -177,9 +180,9 @@
             return self._fail(f"ERROR READONLY {member.name}")
         if is_write and self.state == "I":
             self._append(statement_id)
-        self.wrote = self.wrote or is_write
+        self.has_written = self.has_written or is_write
         rows = [] if is_write else [f"DATAROW {member.name}@{member.position}"]
-        return self._succeed(statement_id, text, rows)
+        return self._complete(statement_id, text, rows)
 
     def _fail(self, line: str) -> list[str]:
         if self.state == "T":
@@ -200,13 +203,13 @@
                 if member.replicas_apply:
                     replica.applied = member.received
 
-    def _succeed(self, statement_id: str, text: str, rows: list[str]) -> list[str]:
+    def _complete(self, statement_id: str, text: str, rows: list[str]) -> list[str]:
         member = self.member
         if member.on_run is not None:
             member.on_run(self.organisation, statement_id)
         member.ran.append((self.organisation, statement_id, text))
         member.session_values.append(dict(self.values))
-        return [*rows, f"COMPLETE {member.name}.{next(member.signatures)}"]
+        return [*rows, f"COMPLETE {member.name}.{next(member.result_numbers)}"]
 
 
 async def _serve(member: LineMember, connection: LineConnection) -> None:
@@ -218,32 +221,32 @@
         if len(member.open_connections) > member.connection_limit:
             connection.write(encode_line(f"ERROR CONNLIMIT {member.name}"))
             return
-        state = _Connection(member, words[2])
-        if member.faults.is_silent:
+        session = _Session(member, words[2])
+        if member.faults.is_unresponsive:
             await asyncio.Event().wait()
         connection.write(encode_line(f"READY I {member.position}"))
         while True:
-            await _serve_next(state, connection)
+            await _serve_next(session, connection)
     except ConnectionEnded:
         pass
     finally:
         connection.close()
 
 
-async def _serve_next(state: _Connection, connection: LineConnection) -> None:
+async def _serve_next(session: _Session, connection: LineConnection) -> None:
     line = await connection.read_line()
-    member = state.member
+    member = session.member
     if line == "TERMINATE":
         raise ConnectionEnded("terminated")
     _, statement_id, text = line.split(" ", 2)
-    if member.faults.is_silent:
+    if member.faults.is_unresponsive:
         await asyncio.Event().wait()
     if member.faults.work_ms:
         await asyncio.sleep(member.faults.work_ms / 1000)
-    lines = state.answer(statement_id, text)
+    lines = session.run_statement(statement_id, text)
     if statement_id != "-" and member.faults.lose_answers:
         member.faults.lose_answers -= 1
         connection.abort()
-        raise ConnectionEnded("answer lost")
-    lines.append(f"READY {state.state} {member.position}")
+        raise ConnectionEnded("injected fault: response lost")
+    lines.append(f"READY {session.state} {member.position}")
     connection.write(encode_line("\r\n".join(lines)))
--- a/src/radishtrack_standins/object_store.py
+++ b/src/radishtrack_standins/object_store.py
@@ -20,20 +20,21 @@
 
 @attrs.define
 class StoreFaults:
-    """What a test makes the store do wrong."""
+    """Faults that a test sets; none at first."""
 
     status: int = 0
-    """Answers every call with this status, doing nothing."""
-    is_silent: bool = False
+    """Status with which all calls are refused without effect; 0 for none."""
+    is_unresponsive: bool = False
+    """Leaves all calls without a response."""
     delay_s: float = 0.0
-    """Pause before each call is carried out."""
+    """Delay before each call takes effect."""
     lose_writes: int = 0
-    """Carries out so many more writes without answering."""
+    """Number of next writes that take effect but lose their response."""
 
 
 @attrs.define(eq=False)
 class StandInStore:
-    """Objects by kind and name; `start` listens."""
+    """Object store with its promotion service; `start` opens the port."""
 
     objects: dict[tuple[str, str], dict[str, Any]] = attrs.field(factory=dict)
     revision: int = 0
@@ -41,8 +42,9 @@
     faults: StoreFaults = attrs.field(factory=StoreFaults)
     calls: list[str] = attrs.field(factory=list)
     orders: list[tuple[str, str, str, int]] = attrs.field(factory=list)
-    """Promotion orders: group, member, holder and token."""
+    """Promotion orders: group, member, duty holder and fencing token."""
     on_order: Callable[[str, str], int] = lambda _group, _member: 200
+    """Called with group and member of an order; returns the HTTP status."""
     runners: list[web.AppRunner] = attrs.field(factory=list)
     port: int = 0
 
@@ -56,12 +58,12 @@
         self.port = await self.open_view(_show_unchanged)
 
     async def open_view(self, show: ShowObject) -> int:
-        """Listen on one more port, at which objects are shown differently.
+        """Listen on another port, whose readers get objects as `show` returns them.
 
         Parameters
         ----------
         show : callable
-            Takes a kind and an object, and returns the object that readers get.
+            Takes a kind and a stored object, and returns the object for readers.
 
         Returns
         -------
@@ -83,12 +85,12 @@
         return port
 
     async def stop(self) -> None:
-        """Stop listening."""
+        """Stop listening on all ports."""
         for runner in self.runners:
             await runner.cleanup()
 
     def put(self, kind: str, name: str, spec: object) -> int:
-        """Write an object, as the operator or a member does; return its revision."""
+        """Write an object unconditionally; return its revision."""
         self.revision += 1
         self.objects[kind, name] = {
             "meta": {"name": name, "revision": self.revision},
@@ -102,9 +104,9 @@
         self.revision += 1
         del self.objects[kind, name]
 
-    async def _fault(self, request: web.Request) -> web.Response | None:
+    async def _apply_faults(self, request: web.Request) -> web.Response | None:
         self.calls.append(f"{request.method} {request.path}")
-        if self.faults.is_silent:
+        if self.faults.is_unresponsive:
             await asyncio.Event().wait()
         if self.faults.delay_s:
             await asyncio.sleep(self.faults.delay_s)
@@ -113,16 +115,16 @@
         return None
 
     async def _serve_kind(self, request: web.Request) -> web.StreamResponse:
-        if (fault := await self._fault(request)) is not None:
-            return fault
+        if (fault_response := await self._apply_faults(request)) is not None:
+            return fault_response
         kind = request.match_info["kind"]
         if request.method == "POST":
             body = await request.json()
             name = body["meta"]["name"]
             if (kind, name) in self.objects:
-                return _answer(409, self.objects[kind, name])
+                return _make_response(409, self.objects[kind, name])
             self.put(kind, name, body["spec"])
-            return self._written(request, self.objects[kind, name])
+            return self._respond_to_write(request, self.objects[kind, name])
         after = request.query.get("after", "")
         names = sorted(n for k, n in self.objects if k == kind and n > after)
         show = request.app[SHOW_KEY]
@@ -130,38 +132,38 @@
             show(kind, self.objects[kind, name]) for name in names[: self.page_size]
         ]
         has_more = len(names) > self.page_size
-        return _answer(
+        return _make_response(
             200, {"items": page, "hasMore": has_more, "atRev": self.revision}
         )
 
     async def _serve_object(self, request: web.Request) -> web.StreamResponse:
-        if (fault := await self._fault(request)) is not None:
-            return fault
+        if (fault_response := await self._apply_faults(request)) is not None:
+            return fault_response
         kind, name = request.match_info["kind"], request.match_info["name"]
-        present = self.objects.get((kind, name))
-        if present is None:
-            return _answer(404, None)
+        stored = self.objects.get((kind, name))
+        if stored is None:
+            return _make_response(404, None)
         if request.method == "PUT":
             body = await request.json()
-            if body["meta"].get("revision") not in (None, present["meta"]["revision"]):
-                return _answer(409, present)
-            if body["spec"] != present["spec"]:
+            if body["meta"].get("revision") not in (None, stored["meta"]["revision"]):
+                return _make_response(409, stored)
+            if body["spec"] != stored["spec"]:
                 self.put(kind, name, body["spec"])
-            return self._written(request, self.objects[kind, name])
+            return self._respond_to_write(request, self.objects[kind, name])
         if request.method == "DELETE":
             self.remove(kind, name)
-        return _answer(200, request.app[SHOW_KEY](kind, present))
+        return _make_response(200, request.app[SHOW_KEY](kind, stored))
 
-    def _written(self, request: web.Request, stored: object) -> web.Response:
+    def _respond_to_write(self, request: web.Request, stored: object) -> web.Response:
         if self.faults.lose_writes:
             self.faults.lose_writes -= 1
             if request.transport is not None:
                 request.transport.abort()
-        return _answer(200, stored)
+        return _make_response(200, stored)
 
     async def _serve_order(self, request: web.Request) -> web.StreamResponse:
-        if (fault := await self._fault(request)) is not None:
-            return fault
+        if (fault_response := await self._apply_faults(request)) is not None:
+            return fault_response
         body = await request.json()
         self.orders.append(
             (
@@ -171,10 +173,10 @@
                 int(request.headers["X-Fencing-Token"]),
             )
         )
-        return _answer(self.on_order(body["service"], body["id"]), {})
+        return _make_response(self.on_order(body["service"], body["id"]), {})
 
 
-def _answer(status: int, body: object) -> web.Response:
+def _make_response(status: int, body: object) -> web.Response:
     return web.Response(
         status=status,
         body=json.dumps(body).encode(),
--- a/src/radishtrack_standins/platform.py
+++ b/src/radishtrack_standins/platform.py
@@ -24,21 +24,21 @@
 
 
 def make_platform(store: ObjectStore, vms: VmList) -> web.Application:
-    """Return the application without faults."""
+    """Return the HTTP application without fault injection."""
     routes = web.RouteTableDef()
 
     @routes.get("/objects/{kind}/{name}")
     async def get(request: web.Request) -> web.Response:
-        found = store.get(request.match_info["kind"], request.match_info["name"])
-        if found is None or found.value is None:
+        stored = store.get(request.match_info["kind"], request.match_info["name"])
+        if stored is None or stored.value is None:
             return web.json_response({"version": 0}, status=404)
-        return web.json_response(found.as_json())
+        return web.json_response(stored.as_json())
 
     @routes.get("/objects/{kind}")
     async def list_objects(request: web.Request) -> web.Response:
         kind = request.match_info["kind"]
-        found = [item.as_json() for item in store.changes({kind}, 0)]
-        return web.json_response({"objects": found})
+        objects = [item.as_json() for item in store.list_changes({kind}, 0)]
+        return web.json_response({"objects": objects})
 
     @routes.put("/objects/{kind}/{name}")
     @routes.delete("/objects/{kind}/{name}")
@@ -47,26 +47,28 @@
         value = body["value"] if request.method == "PUT" else None
         if len(json.dumps(value)) > MAX_VALUE_BYTES:
             return web.json_response({"error": "value exceeds 1 MB"}, status=413)
-        written, version = store.write(
+        is_written, version = store.write(
             request.match_info["kind"],
             request.match_info["name"],
             value,
             int(body["expected_version"]),
         )
-        return web.json_response({"version": version}, status=200 if written else 409)
+        return web.json_response(
+            {"version": version}, status=200 if is_written else 409
+        )
 
     @routes.get("/watch")
     async def watch(request: web.Request) -> web.Response:
         kinds = set(request.query.getall("kind", []))
         after = int(request.query.get("after", "0"))
         timeout_ms = float(request.query.get("timeout_ms", "0"))
-        revision, found = await store.watch(kinds, after, timeout_ms)
-        objects = [item.as_json() for item in found]
+        revision, changed = await store.watch(kinds, after, timeout_ms)
+        objects = [item.as_json() for item in changed]
         return web.json_response({"revision": revision, "objects": objects})
 
     @routes.get("/vms")
     async def list_vms(_: web.Request) -> web.Response:
-        return web.json_response({"vms": vms.visible()})
+        return web.json_response({"vms": vms.list_visible()})
 
     @routes.post("/vms/{id}")
     async def announce(request: web.Request) -> web.Response:
@@ -83,7 +85,7 @@
 
 @attrs.define
 class RunningPlatform:
-    """A platform in this process."""
+    """A platform that serves in this process; made by `start_platform`."""
 
     store: ObjectStore
     vms: VmList
@@ -99,7 +101,7 @@
 
     @property
     def control_url(self) -> str:
-        """Base URL of the switches when the API refuses connections."""
+        """Base URL of the fault switches, also while the API refuses connections."""
         return f"http://{HOST}:{self.control_port}"
 
     async def close(self) -> None:
@@ -119,7 +121,7 @@
 async def start_platform(
     *, port: int = 0, control_port: int = 0, vm_list_lag_ms: float = 0.0
 ) -> RunningPlatform:
-    """Start a platform in the running event loop; port 0 chooses a free port."""
+    """Start a platform in the running event loop; port 0 selects a free port."""
     store, vms, faults = ObjectStore(), VmList(vm_list_lag_ms), PlatformFaults()
     application = make_platform(store, vms)
     application.middlewares.append(make_fault_middleware(faults))
@@ -128,15 +130,15 @@
     site = await _start_site(runner, port)
     bound_port = int(runner.addresses[0][1])
 
-    async def refuse(refused: bool) -> None:
+    async def set_refusing(is_refusing: bool) -> None:
         nonlocal site
-        if refused:
+        if is_refusing:
             await site.stop()
         else:
             site = web.TCPSite(runner, HOST, bound_port, reuse_address=True)
             await site.start()
 
-    faults.refuse = refuse
+    faults.refuse = set_refusing
     control = web.Application()
     make_control(control, faults, vms)
     control_runner = web.AppRunner(control, access_log=None, shutdown_timeout=0.1)
--- a/src/radishtrack_standins/platform_faults.py
+++ b/src/radishtrack_standins/platform_faults.py
@@ -14,7 +14,12 @@
 from radishtrack_standins.platform_store import VmList
 
 OUTAGES: Final = ("", "refuse", "error", "silent")
-_STEPS: Final = {"GET": "get", "PUT": "put", "DELETE": "delete", "POST": "announce"}
+_STEPS_BY_METHOD: Final = {
+    "GET": "get",
+    "PUT": "put",
+    "DELETE": "delete",
+    "POST": "announce",
+}
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
@@ -30,16 +35,17 @@
     Parameters
     ----------
     outage : str
-        Empty; ``refuse`` closes the listening socket and all connections, ``error``
-        answers 503, ``silent`` never answers.
+        Empty for none; ``refuse`` closes the listening socket and all connections,
+        ``error`` responds with 503, ``silent`` sends no response.
     delay_ms : float
-        Added before every call takes effect.
+        Delay before each call takes effect.
     lose_answers_probability : float
-        Share of writes that are applied and then lose their connection.
+        Probability that a write is applied but its connection closed without a
+        response.
     lose_answers_count : int
-        Number of next writes that lose their answer regardless of the probability.
+        Number of next writes that lose their response regardless of the probability.
     lose_requests_count : int
-        Number of next writes that lose their connection without taking effect.
+        Number of next writes whose connection is closed before they take effect.
     """
 
     outage: str = ""
@@ -48,7 +54,7 @@
     lose_answers_count: int = 0
     lose_requests_count: int = 0
     counts: Counter[str] = attrs.field(factory=Counter)
-    """Calls by step; a watch counts once, when it arrives."""
+    """Calls by step; a watch is counted once, on arrival."""
     kinds: Counter[str] = attrs.field(factory=Counter)
     """Calls by step and kind of object, as ``step kind``."""
     pending_watches: int = 0
@@ -57,28 +63,28 @@
     refuse: Callable[[bool], Awaitable[None]] = _cannot_refuse
 
     def release(self) -> None:
-        """Wake every call that waits for a switch."""
+        """Wake all calls that wait for a change of the switches."""
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def loses_answer(self) -> bool:
-        """Decide whether the present write loses its answer."""
+    def should_lose_answer(self) -> bool:
+        """Return whether the current write loses its response; counts it down."""
         if self.lose_answers_count > 0:
             self.lose_answers_count -= 1
             return True
         probability = self.lose_answers_probability
         return probability > 0 and self.random.random() < probability
 
-    def loses_request(self) -> bool:
-        """Decide whether the present write is lost before it takes effect."""
+    def should_lose_request(self) -> bool:
+        """Return whether the current write is lost before it takes effect."""
         if self.lose_requests_count > 0:
             self.lose_requests_count -= 1
             return True
         return False
 
     def count(self, request: web.Request) -> None:
-        """Count a call."""
-        step = _STEPS.get(request.method, request.method)
+        """Count a call by step and by kind of object."""
+        step = _STEPS_BY_METHOD.get(request.method, request.method)
         if request.path in ("/watch", "/vms"):
             step = request.path[1:]
         elif request.method == "GET" and "name" not in request.match_info:
@@ -89,41 +95,45 @@
             self.kinds[f"{step} {kind}"] += 1
 
 
-def _drop(request: web.Request) -> web.StreamResponse:
+def _drop_connection(request: web.Request) -> web.StreamResponse:
     if request.transport is not None:
         request.transport.abort()
     raise asyncio.CancelledError
 
 
-async def _answer_unless_outage(
+async def _handle_unless_outage(
     faults: PlatformFaults, request: web.Request, handler: Handler
 ) -> web.StreamResponse:
-    """Handle the call, but end it at once if an outage begins meanwhile."""
+    """Handle a call; abort it as soon as an outage begins."""
     changed = faults.changed
-    working = asyncio.ensure_future(handler(request))
+    handler_task = asyncio.ensure_future(handler(request))
     while True:
-        waiting = asyncio.ensure_future(changed.wait())
+        change_task = asyncio.ensure_future(changed.wait())
         try:
-            await asyncio.wait({working, waiting}, return_when=asyncio.FIRST_COMPLETED)
-            if working.done():
-                return working.result()
+            await asyncio.wait(
+                {handler_task, change_task}, return_when=asyncio.FIRST_COMPLETED
+            )
+            if handler_task.done():
+                return handler_task.result()
             if faults.outage:
-                working.cancel()
-                return await _fail(faults, request)
+                handler_task.cancel()
+                return await _respond_with_outage(faults, request)
             changed = faults.changed
         except asyncio.CancelledError:
-            working.cancel()
+            handler_task.cancel()
             raise
         finally:
-            waiting.cancel()
+            change_task.cancel()
 
 
-async def _fail(faults: PlatformFaults, request: web.Request) -> web.StreamResponse:
+async def _respond_with_outage(
+    faults: PlatformFaults, request: web.Request
+) -> web.StreamResponse:
     if faults.outage == "error":
         return web.json_response({"error": "outage"}, status=503)
     while faults.outage == "silent":
         await faults.changed.wait()
-    return _drop(request)
+    return _drop_connection(request)
 
 
 def make_fault_middleware(faults: PlatformFaults) -> Any:
@@ -135,20 +145,20 @@
             return await handler(request)
         faults.count(request)
         if faults.outage:
-            return await _fail(faults, request)
+            return await _respond_with_outage(faults, request)
         if faults.delay_ms:
             await asyncio.sleep(faults.delay_ms / 1000)
         is_write = request.method in ("PUT", "DELETE")
-        if is_write and faults.loses_request():
-            return _drop(request)
+        if is_write and faults.should_lose_request():
+            return _drop_connection(request)
         if request.path != "/watch":
-            answer = await handler(request)
-            if is_write and faults.loses_answer():
-                return _drop(request)
-            return answer
+            response = await handler(request)
+            if is_write and faults.should_lose_answer():
+                return _drop_connection(request)
+            return response
         faults.pending_watches += 1
         try:
-            return await _answer_unless_outage(faults, request, handler)
+            return await _handle_unless_outage(faults, request, handler)
         finally:
             faults.pending_watches -= 1
 
@@ -158,10 +168,10 @@
 def make_control(
     application: web.Application, faults: PlatformFaults, vms: VmList
 ) -> None:
-    """Add the routes of the switches.
+    """Add the routes that set the switches and return the counters.
 
-    ``POST /control`` takes the switches of `PlatformFaults` by name, ``seed`` for the
-    random source, ``vm_list_lag_ms``, ``remove_vm`` (a VM that died) and
+    ``POST /control`` takes the switches of `PlatformFaults` by name, ``seed`` of the
+    random generator, ``vm_list_lag_ms``, ``remove_vm`` (ID of a VM that failed) and
     ``reset_counts``. ``GET /control/counts`` returns the counters.
     """
 
@@ -201,13 +211,13 @@
     aiohttp.web.HTTPBadRequest
         If a switch or an outage is unknown.
     """
-    known = {"outage", "delay_ms", "lose_answers_probability", "lose_answers_count"}
-    unknown = set(values) - known - {"lose_requests_count"}
+    switches = {"outage", "delay_ms", "lose_answers_probability", "lose_answers_count"}
+    unknown = set(values) - switches - {"lose_requests_count"}
     if unknown or values.get("outage", "") not in OUTAGES:
         raise web.HTTPBadRequest(text=f"unknown switch or outage: {values}")
-    before = faults.outage
+    previous_outage = faults.outage
     for name, value in values.items():
         setattr(faults, name, value)
     faults.release()
-    if (before == "refuse") != (faults.outage == "refuse"):
+    if (previous_outage == "refuse") != (faults.outage == "refuse"):
         await faults.refuse(faults.outage == "refuse")
--- a/src/radishtrack_standins/platform_objects.py
+++ b/src/radishtrack_standins/platform_objects.py
@@ -1,4 +1,4 @@
-"""Objects that the users' operators and members write into their store."""
+"""Objects that operators and members write into the users' object store."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 from radishtrack_standins.line_member import LineMember
 
-STRICT, OWN, AGED = "orders", "receipts", "status"
-"""Databases by kind of read."""
-OWN_MAX_AGE_MS, AGED_MAX_AGE_MS = 2_500, 1_500
-"""Ages from which reads of these databases must show a write."""
+STRICT_DATABASE, SESSION_DATABASE, AGED_DATABASE = "orders", "receipts", "status"
+"""Names of the databases, one for each read class."""
+SESSION_MAX_AGE_MS, AGED_MAX_AGE_MS = 2_500, 1_500
+"""Maximum staleness of reads: they see every write acknowledged this long before."""
 
 
 def make_config(
@@ -22,25 +22,25 @@
     burst: float,
     replicas: int = 1,
 ) -> dict[str, Any]:
-    """Return a configuration with one database for each kind of read.
+    """Return a configuration with one database for each read class.
 
     Parameters
     ----------
     version : int
         Version of the configuration.
     group : str
-        Group that serves all databases.
+        Service name of the group that serves all databases.
     organisations : mapping
-        Keys by name of the organisation.
+        Keys by organisation name.
     rate_per_s, burst : float
         Rate and burst of each organisation.
     replicas : int
-        Replicas that have received a commit when it is acknowledged.
+        Number of replicas that must have received a commit before it is acknowledged.
     """
     routes = (
-        (STRICT, "primary", 0),
-        (AGED, "bounded_staleness", AGED_MAX_AGE_MS),
-        (OWN, "session", OWN_MAX_AGE_MS),
+        (STRICT_DATABASE, "primary", 0),
+        (AGED_DATABASE, "bounded_staleness", AGED_MAX_AGE_MS),
+        (SESSION_DATABASE, "session", SESSION_MAX_AGE_MS),
     )
     return {
         "version": version,
@@ -77,7 +77,7 @@
 def make_member_entry(
     member: LineMember, *, slots: int, state: str = "ready"
 ) -> dict[str, Any]:
-    """Return the entry that a member writes about itself."""
+    """Return the entry with which a member registers itself."""
     return {
         "service": member.group,
         "address": f"127.0.0.1:{member.port}",
--- a/src/radishtrack_standins/platform_store.py
+++ b/src/radishtrack_standins/platform_store.py
@@ -1,4 +1,4 @@
-"""Objects and VM list of the platform stand-in."""
+"""Object store and VM list of the platform stand-in."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @attrs.define(frozen=True)
 class StoredObject:
-    """One object; a deleted one stays with the value None, for watches."""
+    """One object; a deleted one is kept with the value None for watches."""
 
     kind: str
     name: str
@@ -20,22 +20,23 @@
     value: Any
 
     def as_json(self) -> dict[str, Any]:
-        """Return the object as the API shows it."""
+        """Return the object as in responses of the API."""
         return attrs.asdict(self, recurse=False)
 
 
 class ObjectStore:
-    """Versioned objects.
+    """Objects with versions.
 
-    The version of an object is the revision of the write, so it never returns to an
-    earlier value, not even after the object was deleted and created again.
+    The version of an object is the store's revision at its last write. So a version is
+    never used twice, even if the object is deleted and created again.
     """
 
     def __init__(self) -> None:
         self.objects: dict[tuple[str, str], StoredObject] = {}
         self.revision = 1
-        """Above 0 even while empty, so that a watch after it waits."""
+        """Starts at 1, since a watch after revision 0 returns at once."""
         self.changed = asyncio.Event()
+        """Replaced after every write."""
 
     def get(self, kind: str, name: str) -> StoredObject | None:
         """Return an object, deleted or not."""
@@ -44,68 +45,75 @@
     def write(
         self, kind: str, name: str, value: Any, expected_version: int
     ) -> tuple[bool, int]:
-        """Write if the version is the expected one; return success and version."""
-        found = self.get(kind, name)
-        exists = found is not None and found.value is not None
-        present = found.version if found is not None and exists else 0
-        if present != expected_version or (value is None and not exists):
-            return False, present
+        """Write if the version is the expected one; return success and the version.
+
+        An object that does not exist has version 0; the value None deletes.
+        """
+        stored = self.get(kind, name)
+        exists = stored is not None and stored.value is not None
+        version = stored.version if stored is not None and exists else 0
+        if version != expected_version or (value is None and not exists):
+            return False, version
         self.revision += 1
         self.objects[kind, name] = StoredObject(kind, name, self.revision, value)
         self.changed.set()
         self.changed = asyncio.Event()
         return True, self.revision
 
-    def changes(self, kinds: Set[str], after: int) -> list[StoredObject]:
-        """Return objects changed after a revision; with 0, all that exist."""
-        found = [
+    def list_changes(self, kinds: Set[str], after: int) -> list[StoredObject]:
+        """Return the objects changed after a revision; after 0, all that exist."""
+        changed = [
             item
             for item in self.objects.values()
             if item.kind in kinds
             and item.version > after
             and (after > 0 or item.value is not None)
         ]
-        return sorted(found, key=lambda item: item.version)
+        return sorted(changed, key=lambda item: item.version)
 
     async def watch(
         self, kinds: Set[str], after: int, timeout_ms: float
     ) -> tuple[int, list[StoredObject]]:
-        """Return the revision and the changes; wait for one if there is none."""
+        """Return the revision and the changes after a revision.
+
+        Waits up to `timeout_ms` for a change if there is none.
+        """
         if after > self.revision:
-            # The caller's revision is from before a restart that lost the objects.
+            # The revision is from before a restart, which lost all objects.
             after = 0
         deadline = time.monotonic() + timeout_ms / 1000
         while True:
             changed = self.changed
-            found = self.changes(kinds, after)
+            changes = self.list_changes(kinds, after)
             remaining_s = deadline - time.monotonic()
-            if found or remaining_s <= 0 or after == 0:
-                return self.revision, found
+            if changes or remaining_s <= 0 or after == 0:
+                return self.revision, changes
             try:
                 await asyncio.wait_for(changed.wait(), remaining_s)
             except TimeoutError:
-                return self.revision, self.changes(kinds, after)
+                return self.revision, self.list_changes(kinds, after)
 
 
 class VmList:
-    """List of VMs that shows every change only after a lag in milliseconds."""
+    """List of VMs in which changes become visible after a lag in milliseconds."""
 
     def __init__(self, lag_ms: float) -> None:
         self.lag_ms = lag_ms
-        self.shown: dict[str, dict[str, Any]] = {}
+        self.visible: dict[str, dict[str, Any]] = {}
         self.pending: list[tuple[float, str, dict[str, Any] | None]] = []
+        """Due time in seconds, VM ID and new entry of each change."""
 
     def set(self, vm_id: str, record: dict[str, Any] | None) -> None:
         """Change an entry; None removes it."""
-        due = time.monotonic() + self.lag_ms / 1000
-        self.pending.append((due, vm_id, record))
+        due_s = time.monotonic() + self.lag_ms / 1000
+        self.pending.append((due_s, vm_id, record))
 
-    def visible(self) -> list[dict[str, Any]]:
-        """Return the entries that are shown by now."""
-        now = time.monotonic()
-        while self.pending and self.pending[0][0] <= now:
+    def list_visible(self) -> list[dict[str, Any]]:
+        """Return the entries after applying the changes that are due."""
+        now_s = time.monotonic()
+        while self.pending and self.pending[0][0] <= now_s:
             _, vm_id, record = self.pending.pop(0)
-            self.shown.pop(vm_id, None)
+            self.visible.pop(vm_id, None)
             if record is not None:
-                self.shown[vm_id] = record
-        return list(self.shown.values())
+                self.visible[vm_id] = record
+        return list(self.visible.values())
--- a/src/radishtrack_standins/relay.py
+++ b/src/radishtrack_standins/relay.py
@@ -1,4 +1,4 @@
-"""TCP relay that can be cut, refused or delayed, to inject partitions."""
+"""TCP relay that injects partitions: it can cut, refuse or delay connections."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 HOST: Final = "127.0.0.1"
 CHUNK_BYTES: Final = 65_536
-QUEUED_CHUNKS: Final = 64
+MAX_QUEUED_CHUNKS: Final = 64
 
 Chunk = tuple[float, bytes]
-"""Time in seconds by the loop's clock at which it is due, and the bytes."""
+"""Due time in seconds by the event loop's clock, and the data; empty at the end."""
 
 
 @attrs.define
 class RelayFaults:
     """Switches of a relay; all off at first.
 
-    While a direction is cut its bytes are held back, also the end of a stream, and
-    sockets stay open. They are delivered late once it is healed, as TCP does.
+    While a direction is cut, its data and the end of its streams are held back, and
+    sockets stay open. After healing they are delivered late, as by TCP.
     """
 
     cut_to_target: bool = False
@@ -31,11 +31,11 @@
     refuse: bool = False
     """Closes the listening socket and resets all connections."""
     delay_ms: float = 0.0
-    """Added to every chunk in each direction."""
+    """Added to each chunk in both directions."""
 
 
 class Relay:
-    """Forwards connections from one port to a target."""
+    """Forwards connections from one port to a target; made by `start_relay`."""
 
     def __init__(self, target_host: str, target_port: int) -> None:
         self.target_host = target_host
@@ -53,7 +53,7 @@
         self.port = int(self.server.sockets[0].getsockname()[1])
 
     async def set(self, **values: Any) -> None:
-        """Change switches of `RelayFaults` by name."""
+        """Set switches of `RelayFaults` by name."""
         self.faults = attrs.evolve(self.faults, **values)
         self.changed.set()
         self.changed = asyncio.Event()
@@ -63,11 +63,11 @@
             await self.start(self.port)
 
     async def cut(self) -> None:
-        """Hold back both directions."""
+        """Cut both directions."""
         await self.set(cut_to_target=True, cut_from_target=True)
 
     async def heal(self) -> None:
-        """Forward again what was cut or refused."""
+        """End cuts in both directions and refusal; a delay stays."""
         await self.set(cut_to_target=False, cut_from_target=False, refuse=False)
 
     async def close(self) -> None:
@@ -98,34 +98,37 @@
         try:
             while self._is_cut(True):
                 await self.changed.wait()
-            back_reader, back_writer = await asyncio.open_connection(
+            target_reader, target_writer = await asyncio.open_connection(
                 self.target_host, self.target_port
             )
-            writers.append(back_writer)
+            writers.append(target_writer)
             async with asyncio.TaskGroup() as tasks:
-                tasks.create_task(self._pump(reader, back_writer, True))
-                tasks.create_task(self._pump(back_reader, writer, False))
+                tasks.create_task(self._forward_stream(reader, target_writer, True))
+                tasks.create_task(self._forward_stream(target_reader, writer, False))
         except* OSError:
             pass
         finally:
-            for each in writers:
-                each.transport.abort()
+            for open_writer in writers:
+                open_writer.transport.abort()
 
     def _is_cut(self, to_target: bool) -> bool:
         faults = self.faults
         return faults.cut_to_target if to_target else faults.cut_from_target
 
-    async def _pump(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, to: bool
+    async def _forward_stream(
+        self,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        to_target: bool,
     ) -> None:
-        queue: asyncio.Queue[Chunk] = asyncio.Queue(QUEUED_CHUNKS)
-        filling = asyncio.create_task(self._fill(reader, queue))
+        queue: asyncio.Queue[Chunk] = asyncio.Queue(MAX_QUEUED_CHUNKS)
+        reader_task = asyncio.create_task(self._read_chunks(reader, queue))
         loop = asyncio.get_running_loop()
         try:
             while True:
-                due, data = await queue.get()
-                await asyncio.sleep(max(0.0, due - loop.time()))
-                while self._is_cut(to):
+                due_s, data = await queue.get()
+                await asyncio.sleep(max(0.0, due_s - loop.time()))
+                while self._is_cut(to_target):
                     await self.changed.wait()
                 if not data:
                     writer.write_eof()
@@ -133,9 +136,9 @@
                 writer.write(data)
                 await writer.drain()
         finally:
-            filling.cancel()
+            reader_task.cancel()
 
-    async def _fill(
+    async def _read_chunks(
         self, reader: asyncio.StreamReader, queue: asyncio.Queue[Chunk]
     ) -> None:
         loop = asyncio.get_running_loop()
--- a/src/radishtrack_standins/soak/clients.py
+++ b/src/radishtrack_standins/soak/clients.py
@@ -12,10 +12,10 @@
 
 from radishtrack.platform.lines import ConnectionEnded, LineConnection, encode_line
 from radishtrack_standins.platform_objects import (
-    AGED,
+    AGED_DATABASE,
     AGED_MAX_AGE_MS,
-    OWN,
-    STRICT,
+    SESSION_DATABASE,
+    STRICT_DATABASE,
 )
 from radishtrack_standins.soak.fleet import NodeProcess
 from radishtrack_standins.soak.group import Group
@@ -48,7 +48,9 @@
         while True:
             await asyncio.sleep(PAUSE_S)
             node = self.random.choice(list(self.nodes.values()))
-            database = self.random.choice((STRICT, OWN, AGED))
+            database = self.random.choice(
+                (STRICT_DATABASE, SESSION_DATABASE, AGED_DATABASE)
+            )
             try:
                 await self.run_session(node, database)
             except (ConnectionEnded, OSError, TimeoutError) as error:
@@ -127,7 +129,11 @@
     def _list_needed(self, database: str) -> set[str]:
         """Return the writes that a read which starts now must see."""
         now_ms = self.now_ms()
-        age_ms = {STRICT: 0.0, OWN: None, AGED: AGED_MAX_AGE_MS}[database]
+        age_ms = {
+            STRICT_DATABASE: 0.0,
+            SESSION_DATABASE: None,
+            AGED_DATABASE: AGED_MAX_AGE_MS,
+        }[database]
         if age_ms is None:
             return set(self.own_writes)
         acknowledged = self.ledger.acknowledged.items()
--- a/src/radishtrack_standins/soak/run.py
+++ b/src/radishtrack_standins/soak/run.py
@@ -16,7 +16,7 @@
 from radishtrack.platform.lines import ConnectionEnded
 from radishtrack_standins.object_store import StandInStore
 from radishtrack_standins.platform_objects import (
-    STRICT,
+    STRICT_DATABASE,
     make_config,
     make_member_entry,
 )
@@ -142,7 +142,7 @@
         until_ms = self.now_ms() + limit_s * 1000
         while self.now_ms() < until_ms:
             try:
-                connection = await client.connect(node, STRICT)
+                connection = await client.connect(node, STRICT_DATABASE)
                 statement_id, answer = await client.ask(connection, "WRITE q1 x")
                 connection.abort()
             except (ConnectionEnded, OSError, TimeoutError):
