--- a/src/radishtrack_standins/member.py
+++ b/src/radishtrack_standins/member.py
@@ -1,4 +1,4 @@
-"""One database member as a process: `python -m radishtrack_standins.member`."""
+"""Process of one database member: `python -m radishtrack_standins.member`."""
 
 from __future__ import annotations
 
@@ -27,9 +27,30 @@
 
 @attrs.define(frozen=True)
 class MemberSettings:
-    """Command line of a member; port 0 chooses a free port.
-
-    Times are in milliseconds.
+    """Command-line options of a member; port 0 selects a free port.
+
+    Parameters
+    ----------
+    name : str
+        Name of the member.
+    directory : pathlib.Path
+        Directory of the data and the group state.
+    port, admin_port : int
+        Ports for clients and for administration.
+    control_port : int
+        Port of the fault switches.
+    max_connections : int
+        Limit of client connections on the main port.
+    connect_cost_ms : float
+        Delay before the handshake on the main port, in milliseconds.
+    replication_lag_ms : float
+        Time between receiving and applying a change, in milliseconds.
+    source : str
+        ``host:port`` of the primary that a new replica follows; empty for a primary.
+    term : int
+        Term of a member without stored state.
+    password : str
+        Password of all users.
     """
 
     name: str
@@ -47,7 +68,7 @@
 
 @attrs.define
 class RunningMember:
-    """A member in this process and its ports."""
+    """A member that runs in this process, and its ports."""
 
     member: Member
     port: int
@@ -107,7 +128,7 @@
 
 
 def parse_settings(arguments: list[str] | None = None) -> MemberSettings:
-    """Return the settings of a command line."""
+    """Return the settings from command-line arguments."""
     parser = argparse.ArgumentParser(prog="radishtrack_standins.member")
     for field in attrs.fields(MemberSettings):
         required = field.default is attrs.NOTHING
--- a/src/radishtrack_standins/member_control.py
+++ b/src/radishtrack_standins/member_control.py
@@ -1,4 +1,4 @@
-"""Control port of a member: fault switches and dumps, as JSON over HTTP."""
+"""Control port of a member: fault switches and state, as JSON over HTTP."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 def make_control(member: Member) -> web.Application:
     """Return the HTTP application.
 
-    ``POST /control`` takes the switches of `Faults` by name. ``GET /status``,
-    ``/statements?contains=TEXT``, ``/connections`` and ``/rows/{table}`` show what the
-    member holds.
+    ``POST /control`` sets switches of `Faults` by name. ``GET /status``,
+    ``/statements?contains=TEXT``, ``/connections`` and ``/rows/{table}`` return the
+    member's state, its observations and its data.
     """
 
     async def control(request: web.Request) -> web.Response:
@@ -43,13 +43,13 @@
 
     async def statements(request: web.Request) -> web.Response:
         observed = member.observed
-        wanted = request.query.get("contains", "")
+        fragment = request.query.get("contains", "")
         return web.json_response(
             {
                 "statements": [
-                    attrs.asdict(seen)
-                    for seen in observed.statements
-                    if wanted in seen.text
+                    attrs.asdict(statement)
+                    for statement in observed.statements
+                    if fragment in statement.text
                 ],
                 "total": observed.statements_total,
                 "attributes": observed.attributes,
@@ -71,11 +71,11 @@
     async def rows(request: web.Request) -> web.Response:
         table = request.match_info["table"]
         if not re.fullmatch(r"\w+", table):
-            raise web.HTTPBadRequest(text="table name")
-        known = member.log.writer.execute(
+            raise web.HTTPBadRequest(text="invalid table name")
+        table_row = member.log.writer.execute(
             "SELECT 1 FROM sqlite_master WHERE name = ?", (table,)
         ).fetchone()
-        if known is None:
+        if table_row is None:
             raise web.HTTPNotFound(text=table)
         cursor = member.log.writer.execute(f'SELECT * FROM "{table}" ORDER BY 1')
         names = [column[0] for column in cursor.description]
--- a/src/radishtrack_standins/member_core.py
+++ b/src/radishtrack_standins/member_core.py
@@ -1,4 +1,4 @@
-"""One member: its data, its group state, its faults and its sessions."""
+"""State of one member and the statements of its group interface."""
 
 from __future__ import annotations
 
@@ -21,7 +21,8 @@
 
 LOCK_WAIT_S: Final = 5.0
 JOIN_WAIT_S: Final = 0.3
-PULL_ENTRIES: Final = 500
+"""Longest time that `Member.follow` waits until the member has joined the term."""
+MAX_PULL_ENTRIES: Final = 500
 
 STATUS_COLUMNS: Final = (
     "member",
@@ -42,15 +43,15 @@
 
 
 class Abortable(Protocol):
-    """A session whose open transaction can be ended from outside."""
+    """A session whose open transaction the member can abort."""
 
     def abort(self) -> None:
         """Roll back the open transaction, if there is one."""
 
 
 @attrs.define(frozen=True)
-class GroupAnswer:
-    """Rows that a group statement returns."""
+class GroupResult:
+    """Result of a statement of the group interface."""
 
     columns: tuple[str, ...]
     rows: list[Row]
@@ -58,7 +59,7 @@
 
 @attrs.define
 class Member:
-    """State that all connections of one member share."""
+    """State shared by all connections of one member."""
 
     name: str
     log: MemberLog
@@ -72,19 +73,19 @@
     connection_numbers: Iterator[int] = attrs.field(factory=lambda: itertools.count(1))
 
     def status_row(self) -> Row:
-        """Return the member's status."""
+        """Return the member's status in the order of `STATUS_COLUMNS`."""
         state = self.state
         role = "primary" if state.is_primary else "replica"
         position = (self.log.term, self.log.sequence)
         return (self.name, state.term, state.fenced_term, role, *position)
 
     def notify_state(self) -> None:
-        """Wake everything that depends on the group state."""
+        """Wake all tasks that wait for a change of the group state."""
         self.state_changed.set()
         self.state_changed = asyncio.Event()
 
     def require_writable(self) -> None:
-        """Raise the read-only error unless clients may change data here."""
+        """Raise the read-only error unless clients may change data on this member."""
         if not self.state.accepts_changes:
             raise MemberError(
                 1290,
@@ -94,7 +95,7 @@
             )
 
     async def lock_writes(self) -> None:
-        """Take the write lock, or raise the lock wait error."""
+        """Acquire the write lock, or raise the lock wait timeout error."""
         try:
             async with asyncio.timeout(LOCK_WAIT_S):
                 await self.log.write_lock.acquire()
@@ -104,15 +105,15 @@
             ) from None
 
     def abort_transactions(self) -> None:
-        """Roll back all open transactions, since none of them can commit any more."""
+        """Roll back all open transactions, none of which can commit any more."""
         for session in list(self.sessions):
             session.abort()
 
     async def fence(self, term: int) -> None:
         """End all terms below `term` on this member.
 
-        Waits for a change of source that is under way: its end of the log is not
-        final until the log has been shortened.
+        Waits for a `follow` in progress: the end of the log is not final until the log
+        has been truncated.
         """
         async with self.group_lock:
             self.state.fence(term)
@@ -149,35 +150,35 @@
     async def read_log(
         self, term: int, end_term: int, end: int, wait_ms: int
     ) -> list[Row]:
-        """Return what a replica in `term` whose log ends at `end` needs next.
+        """Return the next entries for a replica of `term` whose log ends at `end`.
 
-        Waits up to `wait_ms` milliseconds if there is nothing to return yet.
+        Waits up to `wait_ms` milliseconds for an entry if there is none.
 
         The first row is ``("wait", ...)`` if this member is not the primary of the
-        term, ``("diverged", _, sequence, _)`` if the replica has to discard what
-        follows the sequence, and ``("joined", ...)`` otherwise.
+        term, ``("diverged", _, sequence, _)`` if the replica has to discard the
+        entries after the sequence, and ``("joined", ...)`` otherwise.
         """
-        grown = self.log.grown
+        changed = self.log.changed
         if not self.state.is_primary or self.state.term != term:
             return [("wait", self.state.term, 0, "")]
         common = self.log.common_end(end_term, end)
         if common < end:
             return [("diverged", term, common, "")]
-        entries = self.log.entries(end, PULL_ENTRIES)
+        entries = self.log.read_entries(end, MAX_PULL_ENTRIES)
         if not entries and wait_ms > 0:
             try:
                 async with asyncio.timeout(wait_ms / 1000):
-                    await grown.wait()
+                    await changed.wait()
             except TimeoutError:
                 pass
             else:
                 return await self.read_log(term, end_term, end, wait_ms)
         return [("joined", term, end, ""), *map(_log_row, entries)]
 
-    async def run_group_statement(self, text: str) -> GroupAnswer | None:
-        """Run a statement of the group interface; None if it is another one."""
+    async def run_group_statement(self, text: str) -> GroupResult | None:
+        """Run a statement of the group interface; return None for other statements."""
         if _STATUS.match(text):
-            return GroupAnswer(STATUS_COLUMNS, [self.status_row()])
+            return GroupResult(STATUS_COLUMNS, [self.status_row()])
         match = _CALL.match(text)
         if match is None:
             return None
@@ -185,12 +186,14 @@
         arguments = [part.strip().strip("'\"") for part in match.group(2).split(",")]
         try:
             if name == "log":
-                end = [int(part) for part in arguments]
-                return GroupAnswer(LOG_COLUMNS, await self.read_log(*end))
+                parameters = [int(part) for part in arguments]
+                return GroupResult(LOG_COLUMNS, await self.read_log(*parameters))
             await self._call(name, arguments)
         except (ValueError, TypeError, KeyError) as error:
-            raise MemberError(1064, "42000", f"group statement: {error}") from error
-        return GroupAnswer(STATUS_COLUMNS, [self.status_row()])
+            raise MemberError(
+                1064, "42000", f"invalid group statement: {error}"
+            ) from error
+        return GroupResult(STATUS_COLUMNS, [self.status_row()])
 
     async def _call(self, name: str, arguments: Sequence[str]) -> None:
         term = int(arguments[0])
@@ -212,7 +215,7 @@
 def make_member(
     name: str, directory: Path, *, source: str = "", term: int = 1, lag_ms: float = 0.0
 ) -> Member:
-    """Return the member whose data is in `directory`."""
+    """Return a member with its data in `directory`, which is created if missing."""
     directory.mkdir(parents=True, exist_ok=True)
     return Member(
         name=name,
--- a/src/radishtrack_standins/member_dialect.py
+++ b/src/radishtrack_standins/member_dialect.py
@@ -1,4 +1,4 @@
-"""Rewrites MySQL statements for sqlite and sqlite errors for MySQL clients."""
+"""Translates MySQL statements for sqlite, and sqlite errors for MySQL clients."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 )
 _ESCAPE: Final = re.compile(r"\\(.)|''|\"\"", re.DOTALL)
 _ESCAPED: Final = {"n": "\n", "r": "\r", "t": "\t", "b": "\b", "Z": "\x1a", "0": "\0"}
-_MARK: Final = re.compile("\x01(\\d+)\x01")
+_PLACEHOLDER: Final = re.compile("\x01(\\d+)\x01")
 
 _KEY_COLUMN: Final = re.compile(
     r"\b(?:BIG|MEDIUM|SMALL)?INT(?:EGER)?(?:\(\d+\))?(?:\s+UNSIGNED)?(?:\s+NOT\s+NULL)?"
@@ -56,7 +56,7 @@
     re.IGNORECASE,
 )
 
-_SIMPLE: Final = (
+_REWRITES: Final = (
     (re.compile(r"^\s*INSERT\s+IGNORE\b", re.IGNORECASE), "INSERT OR IGNORE"),
     (re.compile(r"^\s*TRUNCATE(\s+TABLE)?\b", re.IGNORECASE), "DELETE FROM"),
     (re.compile(r"\b_binary(?=\s*\x01)", re.IGNORECASE), ""),
@@ -75,7 +75,7 @@
 
 
 class MemberError(Exception):
-    """An error that the member sends to its client as a MySQL error packet."""
+    """Error that is sent to the client as a MySQL error packet."""
 
     def __init__(self, code: int, state: str, message: str) -> None:
         super().__init__(message)
@@ -86,22 +86,22 @@
 
 @attrs.define(frozen=True)
 class Statement:
-    """A statement ready for sqlite.
+    """A statement translated for sqlite.
 
     Parameters
     ----------
     keyword : str
-        First keyword in upper case.
+        First keyword, in upper case.
     text : str
-        The statement without comments, still with MySQL literals.
+        The statement in MySQL syntax without comments; its literals are converted.
     sql : str
-        The statement for sqlite; deterministic, so that a replica can repeat it.
+        The statement for sqlite; deterministic, so that replicas can replay it.
     locks_rows : bool
-        Whether a SELECT asks for row locks.
+        Whether it is a SELECT that requests row locks.
     sleep_ms : float
-        Time that calls of SLEEP take.
+        Total time of its SLEEP calls, in milliseconds.
     target : str
-        The table that a change names, if it is known.
+        Table that it changes or drops, in lower case; empty if it names none.
     """
 
     keyword: str
@@ -112,7 +112,7 @@
     target: str
 
 
-def _literal(segment: str) -> str:
+def _convert_literal(segment: str) -> str:
     quote = segment[0]
 
     def unescape(match: re.Match[str]) -> str:
@@ -128,19 +128,19 @@
     return "'" + value.replace("'", "''") + "'"
 
 
-def _lift_literals(text: str) -> tuple[str, list[str]]:
+def _extract_literals(text: str) -> tuple[str, list[str]]:
     literals: list[str] = []
 
-    def lift(match: re.Match[str]) -> str:
+    def extract(match: re.Match[str]) -> str:
         segment = match.group(0)
         if segment[0] == "`":
             return segment
         if segment[0] not in "'\"":
             return " "
-        literals.append(_literal(segment))
+        literals.append(_convert_literal(segment))
         return f"\x01{len(literals) - 1}\x01"
 
-    return _SEGMENT.sub(lift, text), literals
+    return _SEGMENT.sub(extract, text), literals
 
 
 def _replace_functions(sql: str, variables: dict[str, str]) -> str:
@@ -154,24 +154,24 @@
 
 
 def parse_statement(text: str, variables: dict[str, str]) -> Statement:
-    """Return the statement that sqlite has to run for a MySQL statement.
+    """Translate a MySQL statement for sqlite.
 
     Parameters
     ----------
     text : str
         Statement of a client.
     variables : dict
-        Values of system variables and of functions of the session as SQL literals, by
-        lower-case name.
+        Values of system variables and session functions as SQL literals, by name in
+        lower case.
     """
-    sql, literals = _lift_literals(text.strip())
+    sql, literals = _extract_literals(text.strip())
     sql = sql.strip().rstrip(";").strip()
     match = _KEYWORD.match(sql)
     keyword = match.group(1).upper() if match else ""
-    plain = _MARK.sub(lambda m: literals[int(m.group(1))], sql)
+    mysql_text = _PLACEHOLDER.sub(lambda m: literals[int(m.group(1))], sql)
     sleep_ms = sum(float(seconds) for seconds in _SLEEP.findall(sql)) * 1000
     locks_rows = keyword == "SELECT" and _ROW_LOCK.search(sql) is not None
-    for pattern, replacement in _SIMPLE:
+    for pattern, replacement in _REWRITES:
         sql = pattern.sub(replacement, sql)
     if keyword == "CREATE":
         sql = _KEY_COLUMN.sub("INTEGER PRIMARY KEY AUTOINCREMENT", sql)
@@ -183,11 +183,11 @@
     if locks_rows:
         sql = _ROW_LOCK.sub("", sql)
     sql = _replace_functions(sql, variables)
-    sql = _MARK.sub(lambda m: literals[int(m.group(1))], sql)
+    sql = _PLACEHOLDER.sub(lambda m: literals[int(m.group(1))], sql)
     target = _TARGET.match(sql)
     return Statement(
         keyword=keyword,
-        text=plain,
+        text=mysql_text,
         sql=sql,
         locks_rows=locks_rows,
         sleep_ms=sleep_ms,
@@ -195,7 +195,7 @@
     )
 
 
-_MESSAGES: Final = (
+_ERRORS_BY_FRAGMENT: Final = (
     ("no such table", 1146, "42S02"),
     ("no such column", 1054, "42S22"),
     ("has no column named", 1054, "42S22"),
@@ -217,9 +217,9 @@
 
 
 def translate_error(error: Exception) -> MemberError:
-    """Return the MySQL error that stands for an error of sqlite."""
+    """Return the MySQL error for an error of sqlite."""
     text = str(error)
-    for fragment, code, state in _MESSAGES:
+    for fragment, code, state in _ERRORS_BY_FRAGMENT:
         if fragment in text:
             prefix = "Duplicate entry: " if code == 1062 else ""
             return MemberError(code, state, prefix + text)
--- a/src/radishtrack_standins/member_log.py
+++ b/src/radishtrack_standins/member_log.py
@@ -1,4 +1,4 @@
-"""Data and log of a member: sqlite in WAL mode, one log row for each commit."""
+"""Data and log of a member in sqlite (WAL mode), with one log row per commit."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 import attrs
 
-REPLAY_BATCH: Final = 200
+REPLAY_BATCH_ENTRIES: Final = 200
 
 
 @attrs.define(frozen=True)
@@ -23,9 +23,9 @@
     term : int
         Term in which it was committed.
     sequence : int
-        Its place in the log.
+        Its sequence number in the log.
     statements : tuple of str
-        The changes in order.
+        Its changes in order.
     """
 
     term: int
@@ -40,7 +40,7 @@
 
 
 class MemberLog:
-    """The database file of one member and the end of its log."""
+    """Database file of one member and the position of the end of its log."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -52,40 +52,40 @@
         self.term = 0
         self.sequence = 0
         self.write_lock = asyncio.Lock()
-        """Held from the first change of a transaction to its end."""
-        self.grown = asyncio.Event()
-        """Replaced after every change of the log; wakes waiting replicas."""
+        """Held from the first change of a transaction until it ends."""
+        self.changed = asyncio.Event()
+        """Set and replaced after every change of the log; wakes waiting replicas."""
         self.read_end()
 
     def connect(self) -> sqlite3.Connection:
-        """Return a connection of its own, so that transactions are isolated."""
+        """Return a new connection, since sqlite isolates transactions by connection."""
         connection = sqlite3.connect(self.path, isolation_level=None, timeout=0)
-        # Survives the end of the process, which is all that the stand-in promises.
+        # Commits survive the end of the process, which suffices for a stand-in.
         connection.execute("PRAGMA journal_mode = WAL")
         connection.execute("PRAGMA synchronous = OFF")
         connection.create_function("concat", -1, _concat)
         return connection
 
     def read_end(self) -> None:
-        """Read the end of the log from the file."""
+        """Read the position of the last log entry from the file."""
         row = self.writer.execute(
             "SELECT term, sequence FROM _log ORDER BY sequence DESC LIMIT 1"
         ).fetchone()
         self.term, self.sequence = row or (0, 0)
 
     def notify(self) -> None:
-        """Wake everyone who waits for the log to change."""
-        self.grown.set()
-        self.grown = asyncio.Event()
+        """Wake all tasks that wait for a change of the log."""
+        self.changed.set()
+        self.changed = asyncio.Event()
 
     def append(
         self, connection: sqlite3.Connection, term: int, statements: Sequence[str]
     ) -> None:
-        """Add the log row of the open transaction and commit both together."""
+        """Commit the open transaction of `connection` as the next log entry."""
         self.commit(connection, LogEntry(term, self.sequence + 1, tuple(statements)))
 
     def commit(self, connection: sqlite3.Connection, entry: LogEntry) -> None:
-        """Commit the open transaction of `connection` as `entry`."""
+        """Commit the open transaction of `connection` together with its log entry."""
         connection.execute(
             "INSERT INTO _log (sequence, term, statements) VALUES (?, ?, ?)",
             (entry.sequence, entry.term, json.dumps(entry.statements)),
@@ -95,7 +95,7 @@
         self.notify()
 
     def apply(self, entry: LogEntry) -> None:
-        """Repeat a transaction of the source; the caller holds the write lock."""
+        """Apply a transaction of the source; the caller holds the write lock."""
         self.writer.execute("BEGIN IMMEDIATE")
         try:
             for statement in entry.statements:
@@ -106,8 +106,8 @@
                 self.writer.execute("ROLLBACK")
             raise
 
-    def entries(self, after: int, limit: int) -> list[LogEntry]:
-        """Return up to `limit` entries after the sequence `after`."""
+    def read_entries(self, after: int, limit: int) -> list[LogEntry]:
+        """Return at most `limit` entries after the sequence `after`."""
         rows = self.writer.execute(
             "SELECT term, sequence, statements FROM _log WHERE sequence > ?"
             " ORDER BY sequence LIMIT ?",
@@ -119,17 +119,19 @@
         ]
 
     def term_at(self, sequence: int) -> int:
-        """Return the term of an entry; 0 if there is none."""
+        """Return the term of an entry, or 0 if there is no such entry."""
         row = self.writer.execute(
             "SELECT term FROM _log WHERE sequence = ?", (sequence,)
         ).fetchone()
         return int(row[0]) if row else 0
 
     def common_end(self, term: int, sequence: int) -> int:
-        """Return how far a log that ends at (`term`, `sequence`) can agree with this.
+        """Return the last sequence up to which another log can match this one.
 
-        Entries of one term come from one primary, so logs that agree on the term of
-        an entry agree on everything before it.
+        The other log ends at `term` and `sequence`.
+
+        Entries of one term come from one primary, so logs that have the same term at a
+        sequence are equal up to it.
         """
         if sequence == 0 or self.term_at(sequence) == term:
             return sequence
@@ -140,14 +142,14 @@
         return int(row[0] or 0)
 
     async def truncate(self, sequence: int) -> None:
-        """Discard everything after `sequence`; the caller holds the write lock.
+        """Discard all entries after `sequence`; the caller holds the write lock.
 
-        There is no undo information, so the tables are rebuilt from the log in one
-        transaction; readers see either all or nothing of it.
+        There is no undo log, so the tables are rebuilt from the entries in one
+        transaction, which readers see whole or not at all.
         """
         if sequence >= self.sequence:
             return
-        kept = self.entries(0, sequence) if sequence else []
+        kept = self.read_entries(0, sequence) if sequence else []
         self.writer.execute("BEGIN IMMEDIATE")
         try:
             self._drop_tables()
@@ -172,7 +174,7 @@
         for count, entry in enumerate(entries, start=1):
             for statement in entry.statements:
                 self.writer.execute(statement)
-            if count % REPLAY_BATCH == 0:
+            if count % REPLAY_BATCH_ENTRIES == 0:
                 await asyncio.sleep(0)
 
     def close(self) -> None:
--- a/src/radishtrack_standins/member_replica.py
+++ b/src/radishtrack_standins/member_replica.py
@@ -1,4 +1,4 @@
-"""Replication: pulls the log of the source and applies it after the set lag."""
+"""Replication: pulls the log of the source and applies it after the lag."""
 
 from __future__ import annotations
 
@@ -21,28 +21,30 @@
 RETRY_S: Final = 0.05
 PULL_WAIT_MS: Final = 500
 CONNECT_TIMEOUT_S: Final = 2.0
-ANSWER_TIMEOUT_S: Final = 3.0
+RESPONSE_TIMEOUT_S: Final = 3.0
 REPLICATION_USER: Final = "replication"
 
 
-async def _run_unless(event: asyncio.Event, work: Coroutine[Any, Any, None]) -> bool:
-    """Run `work`; if `event` is set first, cancel it and return True.
+async def _run_unless_set(
+    event: asyncio.Event, work: Coroutine[Any, Any, None]
+) -> bool:
+    """Run `work`; if `event` is set first, cancel `work` and return True.
 
-    Without this, a pull that waits for the old source would delay the change to a new
-    one by the time of a long poll.
+    Otherwise a pending pull from the old source would delay the change to a new one
+    by the time of a long poll.
     """
-    working = asyncio.ensure_future(work)
-    waiting = asyncio.ensure_future(event.wait())
+    work_task = asyncio.ensure_future(work)
+    event_task = asyncio.ensure_future(event.wait())
     try:
-        await asyncio.wait({working, waiting}, return_when=asyncio.FIRST_COMPLETED)
-        if working.done():
-            working.result()
+        await asyncio.wait({work_task, event_task}, return_when=asyncio.FIRST_COMPLETED)
+        if work_task.done():
+            work_task.result()
             return False
         return True
     finally:
-        working.cancel()
-        waiting.cancel()
-        await asyncio.gather(working, waiting, return_exceptions=True)
+        work_task.cancel()
+        event_task.cancel()
+        await asyncio.gather(work_task, event_task, return_exceptions=True)
 
 
 class Replica:
@@ -54,12 +56,12 @@
         self.connection: Any = None
         self.address = ""
         self.pending: deque[tuple[float, LogEntry]] = deque()
-        """Received entries with the times in seconds at which they are due."""
+        """Received entries with their due times in seconds (monotonic clock)."""
         self.pending_term = 0
-        self.arrived = asyncio.Event()
+        self.entries_received = asyncio.Event()
 
     async def run(self) -> None:
-        """Pull and apply until a change of the source cannot be repeated here."""
+        """Pull and apply entries; end with a log line if one cannot be applied."""
         try:
             async with asyncio.TaskGroup() as tasks:
                 tasks.create_task(self._pull_forever())
@@ -69,7 +71,7 @@
 
     async def _pull_forever(self) -> None:
         while True:
-            await self.member.faults.pass_replication()
+            await self.member.faults.wait_while_replication_cut()
             state = self.member.state
             changed = self.member.state_changed
             if state.is_primary or state.fenced_term > state.follow_term:
@@ -77,7 +79,7 @@
                 await changed.wait()
                 continue
             try:
-                if await _run_unless(changed, self._pull_once()):
+                if await _run_unless_set(changed, self._pull_once()):
                     self._disconnect()
             except (OSError, pymysql.err.Error, asyncio.IncompleteReadError):
                 self._disconnect()
@@ -92,12 +94,12 @@
         await self._connect(state.source)
         last = self.pending[-1][1] if self.pending else None
         end = last or member.log
-        # The first answer of a new source must come at once: it ends the old term here.
+        # A new source must respond at once: its first response lets this member join.
         wait_ms = PULL_WAIT_MS if state.term == term else 0
         rows = await self._query(
             f"CALL sys.group_log({term}, {end.term}, {end.sequence}, {wait_ms})"
         )
-        await member.faults.pass_replication()
+        await member.faults.wait_while_replication_cut()
         if state.follow_term != term or state.fenced_term > term or state.is_primary:
             return
         kind, _, sequence, _ = rows[0]
@@ -118,19 +120,19 @@
                 await self.member.log.truncate(sequence)
 
     def _receive(self, rows: list[Any]) -> None:
-        due = time.monotonic() + self.member.faults.replication_lag_ms / 1000
+        due_s = time.monotonic() + self.member.faults.replication_lag_ms / 1000
         for _, term, sequence, statements in rows:
             texts = tuple(str(statements).split("\x00"))
-            self.pending.append((due, LogEntry(int(term), int(sequence), texts)))
+            self.pending.append((due_s, LogEntry(int(term), int(sequence), texts)))
         if rows:
-            self.arrived.set()
+            self.entries_received.set()
 
     async def _apply_forever(self) -> None:
         while True:
             if not self.pending:
-                self.arrived.clear()
-                await self.arrived.wait()
-            await self.member.faults.pass_running()
+                self.entries_received.clear()
+                await self.entries_received.wait()
+            await self.member.faults.wait_while_frozen()
             if not self.pending:
                 continue
             wait_s = self.pending[0][0] - time.monotonic()
@@ -142,8 +144,8 @@
 
     def _apply_next(self) -> None:
         state = self.member.state
-        stale = state.is_primary or state.fenced_term > self.pending_term
-        if stale or state.follow_term != self.pending_term:
+        is_stale = state.is_primary or state.fenced_term > self.pending_term
+        if is_stale or state.follow_term != self.pending_term:
             self.pending.clear()
         if not self.pending:
             return
@@ -158,7 +160,7 @@
             return
         self._disconnect()
         host, port = source.rsplit(":", 1)
-        # The library limits only the TCP connection, not a silent handshake.
+        # aiomysql limits only the TCP connect, not an unresponsive handshake.
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             self.connection = await aiomysql.connect(
                 host=host,
@@ -170,7 +172,7 @@
         self.address = source
 
     async def _query(self, sql: str) -> list[Any]:
-        async with asyncio.timeout(ANSWER_TIMEOUT_S):
+        async with asyncio.timeout(RESPONSE_TIMEOUT_S):
             async with self.connection.cursor() as cursor:
                 await cursor.execute(sql)
                 return list(await cursor.fetchall())
--- a/src/radishtrack_standins/member_server.py
+++ b/src/radishtrack_standins/member_server.py
@@ -1,4 +1,4 @@
-"""MySQL wire protocol of a member over mysql-mimic."""
+"""MySQL protocol of a member, based on mysql-mimic."""
 
 from __future__ import annotations
 
@@ -20,9 +20,13 @@
 
 from radishtrack_standins.member_core import Member, Row
 from radishtrack_standins.member_dialect import MemberError
-from radishtrack_standins.member_faults import SeenStatement
+from radishtrack_standins.member_faults import ReceivedStatement
 from radishtrack_standins.member_replica import REPLICATION_USER
-from radishtrack_standins.member_session import Answer, MemberSession, status_flags
+from radishtrack_standins.member_session import (
+    MemberSession,
+    StatementResult,
+    status_flags,
+)
 
 CLIENT_USERS: Final = ("radishtrack", "radishtrack_admin")
 MAIN: Final = "main"
@@ -36,11 +40,11 @@
 
 
 class LoginRefusedError(Exception):
-    """The client was told that its login failed."""
+    """The login failed, and the client has received the error."""
 
 
 class MemberUsers(IdentityProvider):  # type: ignore[misc]
-    """The users of a member; they share one password."""
+    """Users of a member, all with the same password."""
 
     def __init__(self, password: str) -> None:
         self.password_hash = (
@@ -49,16 +53,16 @@
 
     async def get_user(self, username: str) -> Any:
         """Return the user; an unknown one gets a hash that matches no password."""
-        known = username in (*CLIENT_USERS, REPLICATION_USER)
+        is_known = username in (*CLIENT_USERS, REPLICATION_USER)
         return User(
             name=username,
-            auth_string=self.password_hash if known else "00" * 20,
+            auth_string=self.password_hash if is_known else "00" * 20,
             auth_plugin=NativePasswordAuthPlugin.name,
         )
 
 
 class _WireSession(BaseSession):  # type: ignore[misc]
-    """What mysql-mimic needs besides the connection; runs no statements."""
+    """Session state that mysql-mimic requires; runs no statements."""
 
     def __init__(self) -> None:
         self.variables = SessionVariables(GlobalVariables())
@@ -80,7 +84,7 @@
     max_connections : int
         Limit of counted connections.
     connect_cost_ms : float
-        Time before the handshake.
+        Delay before the handshake, in milliseconds.
     password : str
         Password of all users.
     """
@@ -92,7 +96,10 @@
 
 
 class MemberConnection(Connection):  # type: ignore[misc]
-    """One connection; closes after a failed login and reports affected rows."""
+    """One connection.
+
+    Unlike its base class, it closes after a failed login and reports affected rows.
+    """
 
     def __init__(self, member: Member, settings: ServerSettings, stream: Any) -> None:
         super().__init__(
@@ -105,28 +112,28 @@
         self.member = member
         self.settings = settings
         self.user = ""
-        self.engine: MemberSession | None = None
-        self.counted = False
+        self.member_session: MemberSession | None = None
+        self.is_counted = False
 
     async def serve(self) -> None:
-        """Serve the connection until it ends."""
+        """Serve the connection until it closes."""
         faults = self.member.faults
         try:
-            await faults.pass_connecting()
+            await faults.wait_while_unreachable()
             await asyncio.sleep(self.settings.connect_cost_ms / 1000)
             await self.connection_phase()
-            self.engine = MemberSession(self.member, self.connection_id)
-            self.engine.schema = self.session.database or ""
+            self.member_session = MemberSession(self.member, self.connection_id)
+            self.member_session.schema = self.session.database or ""
             await self.command_phase()
         except LoginRefusedError:
             return
         except _CONNECTION_ERRORS:
             return
         finally:
-            if self.engine is not None:
-                self.engine.close()
-            if self.counted:
-                self.member.observed.closed()
+            if self.member_session is not None:
+                self.member_session.close()
+            if self.is_counted:
+                self.member.observed.count_closed()
 
     async def authenticate(self, username: str, *args: Any, **kwargs: Any) -> None:
         """Check the login; count the connection before the client can use it."""
@@ -134,16 +141,16 @@
         self.member.observed.users.append(username)
         self.user = username
         self.session.username = None
-        await self._pass()
+        await self._wait_while_cut()
         if self.settings.port_kind == MAIN and username != REPLICATION_USER:
-            await self._count()
+            await self._count_connection()
         await super().authenticate(username, *args, **kwargs)
         if self.session.username is None:
             raise LoginRefusedError
 
-    async def _count(self) -> None:
+    async def _count_connection(self) -> None:
         observed = self.member.observed
-        if self.counted:
+        if self.is_counted:
             return
         if observed.connections >= self.settings.max_connections:
             observed.connections_refused += 1
@@ -151,77 +158,80 @@
                 self.error_packet(MemberError(1040, "08004", "Too many connections"))
             )
             raise LoginRefusedError
-        observed.opened()
-        self.counted = True
+        observed.count_opened()
+        self.is_counted = True
 
     def error_packet(self, error: MemberError) -> bytes:
-        """Return the packet of an error with any code."""
+        """Return the error packet of an error."""
         head = b"\xff" + error.code.to_bytes(2, "little")
         return head + b"#" + error.state.encode() + error.message.encode()
 
     def error(self, **kwargs: Any) -> bytes:
-        """Return an error packet of mysql-mimic; a refused login has 1045."""
+        """Return the error packet for an error of mysql-mimic.
+
+        The code of a failed login is 1045, with the SQL state 28000.
+        """
         code, message = int(kwargs.get("code", 1105)), str(kwargs.get("msg", ""))
         state = "28000" if code == 1045 else "HY000"
         return self.error_packet(MemberError(code, state, message))
 
-    async def _pass(self) -> None:
+    async def _wait_while_cut(self) -> None:
         faults = self.member.faults
         if self.user == REPLICATION_USER:
-            await faults.pass_replication()
+            await faults.wait_while_replication_cut()
         else:
-            await faults.pass_clients()
+            await faults.wait_while_clients_cut()
 
     async def handle_query(self, data: bytes) -> None:
-        """Run one statement and answer it."""
-        assert self.engine is not None
-        await self._pass()
+        """Run one statement and send its result."""
+        assert self.member_session is not None
+        await self._wait_while_cut()
         query = packets.parse_com_query(
             capabilities=self.capabilities,
             client_charset=CharacterSet.utf8mb4,
             data=data,
         )
         if self.user != REPLICATION_USER:
-            self.member.observed.saw(
-                SeenStatement(self.settings.port_kind, self.user, query.sql)
+            self.member.observed.record_statement(
+                ReceivedStatement(self.settings.port_kind, self.user, query.sql)
             )
         try:
-            answer = await self.engine.run(query.sql)
-            await self._before_answer()
-            await self._answer(answer)
+            result = await self.member_session.run(query.sql)
+            await self._prepare_response()
+            await self._send_result(result)
         except MemberError as error:
-            await self._before_answer()
+            await self._prepare_response()
             await self.stream.write(self.error_packet(error))
         except ConnectionAbortedError:
             self.stream.writer.transport.abort()
             raise
 
-    async def _before_answer(self) -> None:
-        assert self.engine is not None
-        self.status_flags = ServerStatus(status_flags(self.engine))
+    async def _prepare_response(self) -> None:
+        assert self.member_session is not None
+        self.status_flags = ServerStatus(status_flags(self.member_session))
         if self.user != REPLICATION_USER:
             await self.member.faults.delay()
-        await self._pass()
+        await self._wait_while_cut()
 
-    async def _answer(self, answer: Answer) -> None:
-        if answer.rows is None:
+    async def _send_result(self, result: StatementResult) -> None:
+        if result.rows is None:
             await self.stream.write(
                 self.ok(
-                    affected_rows=answer.affected_rows,
-                    last_insert_id=answer.insert_id,
+                    affected_rows=result.affected_rows,
+                    last_insert_id=result.insert_id,
                 )
             )
             return
         columns: list[Any] | None = None
         sent = 0
-        async for batch in answer.rows:
+        async for batch in result.rows:
             if columns is None:
-                columns = _make_columns(answer.columns, batch)
-                self._write_head(columns)
+                columns = _make_columns(result.columns, batch)
+                self._write_columns(columns)
             sent += len(batch)
             await self._write_batch(batch, columns, sent)
         if columns is None:
-            self._write_head(_make_columns(answer.columns, []))
+            self._write_columns(_make_columns(result.columns, []))
         await self.stream.write(self.ok_or_eof())
 
     async def _write_batch(
@@ -235,11 +245,11 @@
             self.stream.write_text_rows(batch[:kept], columns)
             await self.stream.drain()
             self.stream.writer.close()
-            raise ConnectionResetError("closed in the middle of a result")
+            raise ConnectionResetError("injected fault: closed within a result")
         self.stream.write_text_rows(batch, columns)
         await self.stream.drain()
 
-    def _write_head(self, columns: list[Any]) -> None:
+    def _write_columns(self, columns: list[Any]) -> None:
         head = [
             packets.make_column_count(
                 capabilities=self.capabilities, column_count=len(columns)
@@ -260,33 +270,33 @@
 
     async def handle_init_db(self, data: bytes) -> None:
         """Change the default database."""
-        await self._pass()
+        await self._wait_while_cut()
         await super().handle_init_db(data)
-        assert self.engine is not None
-        self.engine.schema = self.session.database or ""
+        assert self.member_session is not None
+        self.member_session.schema = self.session.database or ""
 
     async def handle_stmt_prepare(self, data: bytes) -> None:
         """Refuse prepared statements."""
         text = data.decode(errors="replace")
-        self.member.observed.saw(
-            SeenStatement(self.settings.port_kind, self.user, text)
+        self.member.observed.record_statement(
+            ReceivedStatement(self.settings.port_kind, self.user, text)
         )
         message = "the stand-in does not support prepared statements"
         await self.stream.write(self.error_packet(MemberError(1295, "HY000", message)))
 
     async def handle_ping(self, data: bytes) -> None:
-        """Answer a ping."""
-        await self._pass()
-        await self._before_answer()
+        """Respond to a ping."""
+        await self._wait_while_cut()
+        await self._prepare_response()
         await super().handle_ping(data)
 
     async def handle_reset_connection(self, data: bytes) -> None:
-        """Undo the open transaction and forget temporary tables."""
-        assert self.engine is not None
-        await self._pass()
-        self.engine.close()
-        self.engine = MemberSession(self.member, self.connection_id)
-        await self._before_answer()
+        """Roll back the open transaction and drop temporary tables."""
+        assert self.member_session is not None
+        await self._wait_while_cut()
+        self.member_session.close()
+        self.member_session = MemberSession(self.member, self.connection_id)
+        await self._prepare_response()
         await super().handle_reset_connection(data)
 
 
@@ -309,7 +319,7 @@
 
 @attrs.define
 class MemberPort:
-    """A listening port and the tasks of its connections."""
+    """A listening port with the tasks of its connections."""
 
     server: asyncio.Server
     tasks: set[asyncio.Task[None]]
@@ -320,7 +330,7 @@
         return int(self.server.sockets[0].getsockname()[1])
 
     async def close(self) -> None:
-        """Stop listening and end all connections."""
+        """Stop listening and cancel all connections."""
         self.server.close()
         for task in self.tasks:
             task.cancel()
--- a/src/radishtrack_standins/member_session.py
+++ b/src/radishtrack_standins/member_session.py
@@ -1,4 +1,4 @@
-"""Runs the statements of one connection against sqlite."""
+"""Runs the statements of one connection on sqlite."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     translate_error,
 )
 
-FETCH_ROWS: Final = 200
+FETCH_BATCH_ROWS: Final = 200
 
 CHANGES: Final = frozenset({"INSERT", "UPDATE", "DELETE", "REPLACE"})
 DEFINITIONS: Final = frozenset({"CREATE", "DROP", "ALTER", "TRUNCATE"})
@@ -33,8 +33,8 @@
 
 
 @attrs.define
-class Answer:
-    """Result of one statement; `columns` is empty if it returns no rows."""
+class StatementResult:
+    """Result of one statement; `rows` is None if it returns no result set."""
 
     columns: tuple[str, ...] = ()
     rows: AsyncIterator[list[Row]] | None = None
@@ -47,26 +47,26 @@
 
 
 class MemberSession:
-    """Transaction state of one connection."""
+    """Session of one connection: its transaction, variables and temporary tables."""
 
     def __init__(self, member: Member, connection_id: int) -> None:
         self.member = member
         self.connection_id = connection_id
-        self.database = member.log.connect()
+        self.connection = member.log.connect()
         self.in_transaction = False
         self.autocommit = True
-        self.holds_lock = False
-        self.aborted = False
+        self.has_write_lock = False
+        self.is_aborted = False
         self.changes: list[str] = []
         self.temporary_tables: set[str] = set()
         self.insert_id = 0
         self.schema = ""
-        self.key_tables: dict[str, bool] = {}
-        """Whether a table generates keys, by name."""
+        self.generates_keys: dict[str, bool] = {}
+        """Whether a table generates its keys, by table name."""
         member.sessions.add(self)
 
     def variables(self) -> dict[str, str]:
-        """Return system variables and results of functions as SQL literals."""
+        """Return values of system variables and session functions as SQL literals."""
         quoted_schema = "'" + self.schema.replace("'", "''") + "'"
         return {
             "autocommit": str(int(self.autocommit)),
@@ -80,161 +80,165 @@
             "schema": quoted_schema if self.schema else "NULL",
         }
 
-    async def run(self, text: str) -> Answer:
+    async def run(self, text: str) -> StatementResult:
         """Run one statement.
 
         Raises
         ------
         MemberError
-            The error that the client gets.
+            The error to send to the client.
         """
         statement = parse_statement(text, self.variables())
         group = await self.member.run_group_statement(statement.text)
         if group is not None:
-            return Answer(group.columns, _single_batch(group.rows))
+            return StatementResult(group.columns, _single_batch(group.rows))
         if statement.sleep_ms:
             await asyncio.sleep(statement.sleep_ms / 1000)
-            await self.member.faults.pass_running()
+            await self.member.faults.wait_while_frozen()
         try:
             return await self._dispatch(statement)
         except (sqlite3.Error, sqlite3.Warning, ValueError) as error:
             raise translate_error(error) from error
 
-    async def _dispatch(self, statement: Statement) -> Answer:
+    async def _dispatch(self, statement: Statement) -> StatementResult:
         keyword, text = statement.keyword, statement.text
         if keyword in ("BEGIN", "START"):
             self.commit()
-            self.aborted = False
+            self.is_aborted = False
             self.in_transaction = True
-            return Answer()
+            return StatementResult()
         if keyword == "COMMIT":
             self.commit()
-            return Answer()
+            return StatementResult()
         if keyword == "ROLLBACK" and not re.search(r"\bTO\b", text, re.I):
             self.rollback()
-            self.aborted = False
-            return Answer()
-        if self.aborted:
+            self.is_aborted = False
+            return StatementResult()
+        if self.is_aborted:
             self.member.require_writable()
             raise MemberError(1213, "40001", "transaction was rolled back")
         if keyword in ("ROLLBACK", "SAVEPOINT", "RELEASE"):
             if self.member.state.accepts_changes:
-                await self._lock()
-            self.database.execute(statement.sql)
-            return Answer()
+                await self._acquire_write_lock()
+            self.connection.execute(statement.sql)
+            return StatementResult()
         if keyword == "SET":
-            return self._set(text)
+            return self._run_set(text)
         if keyword in ("USE", "LOCK", "UNLOCK", "DO", "ANALYZE"):
-            return Answer()
+            return StatementResult()
         if keyword in READS:
-            return await self._read(statement)
+            return await self._run_read(statement)
         if keyword in CHANGES:
-            return await self._change(statement)
+            return await self._run_change(statement)
         if keyword in DEFINITIONS:
-            return await self._define(statement)
+            return await self._run_definition(statement)
         if keyword in UNSUPPORTED:
             raise MemberError(1235, "42000", f"the stand-in does not support {keyword}")
         raise MemberError(
             1064, "42000", f"You have an error in your SQL syntax: {text}"
         )
 
-    def _set(self, text: str) -> Answer:
+    def _run_set(self, text: str) -> StatementResult:
         match = _AUTOCOMMIT.match(text)
         if match:
             enabled = match.group(1).upper() in ("1", "ON", "TRUE")
             if enabled and not self.autocommit:
                 self.commit()
             self.autocommit = enabled
-        return Answer()
+        return StatementResult()
 
-    async def _read(self, statement: Statement) -> Answer:
+    async def _run_read(self, statement: Statement) -> StatementResult:
         if not self.autocommit:
             self.in_transaction = True
         if self.in_transaction:
             if statement.locks_rows and self.member.state.accepts_changes:
-                await self._lock()
-            elif not self.database.in_transaction:
-                self.database.execute("BEGIN")
-        cursor = self.database.execute(statement.sql)
+                await self._acquire_write_lock()
+            elif not self.connection.in_transaction:
+                self.connection.execute("BEGIN")
+        cursor = self.connection.execute(statement.sql)
         columns = tuple(column[0] for column in cursor.description or ())
-        return Answer(columns, self._fetch(cursor))
+        return StatementResult(columns, self._fetch(cursor))
 
     async def _fetch(self, cursor: sqlite3.Cursor) -> AsyncIterator[list[Row]]:
         try:
-            while rows := cursor.fetchmany(FETCH_ROWS):
+            while rows := cursor.fetchmany(FETCH_BATCH_ROWS):
                 yield rows
         finally:
             cursor.close()
 
-    async def _lock(self) -> None:
-        """Take the write lock; a change sees the newest data, as in InnoDB."""
-        if self.holds_lock:
+    async def _acquire_write_lock(self) -> None:
+        """Acquire the write lock.
+
+        Restarts the sqlite transaction, so that a change sees the latest data, as in
+        InnoDB.
+        """
+        if self.has_write_lock:
             return
-        if self.database.in_transaction:
-            self.database.execute("COMMIT")
+        if self.connection.in_transaction:
+            self.connection.execute("COMMIT")
         await self.member.lock_writes()
         try:
-            await self.member.faults.pass_running()
+            await self.member.faults.wait_while_frozen()
             self.member.require_writable()
-            self.database.execute("BEGIN IMMEDIATE")
+            self.connection.execute("BEGIN IMMEDIATE")
         except BaseException:
             self.member.log.write_lock.release()
             raise
-        self.holds_lock = True
+        self.has_write_lock = True
 
-    async def _change(self, statement: Statement) -> Answer:
-        temporary = statement.target in self.temporary_tables
-        if temporary:
+    async def _run_change(self, statement: Statement) -> StatementResult:
+        is_temporary = statement.target in self.temporary_tables
+        if is_temporary:
             return self._execute(statement)
         self.member.require_writable()
         if not self.autocommit:
             self.in_transaction = True
-        await self._lock()
+        await self._acquire_write_lock()
         try:
-            answer = self._execute(statement)
+            result = self._execute(statement)
         except BaseException:
             if not self.in_transaction:
                 self.rollback()
             raise
-        if answer.affected_rows:
+        if result.affected_rows:
             self.changes.append(statement.sql)
         if not self.in_transaction:
             self.commit()
-        return answer
+        return result
 
-    def _execute(self, statement: Statement) -> Answer:
-        cursor = self.database.execute(statement.sql)
+    def _execute(self, statement: Statement) -> StatementResult:
+        cursor = self.connection.execute(statement.sql)
         affected = max(cursor.rowcount, 0)
         insert_id = 0
-        inserts = statement.keyword in ("INSERT", "REPLACE") and affected > 0
-        if inserts and self._generates_keys(statement.target):
-            # MySQL reports the first key of a statement, sqlite the last one.
+        is_insert = statement.keyword in ("INSERT", "REPLACE") and affected > 0
+        if is_insert and self._generates_keys(statement.target):
+            # MySQL reports a statement's first generated key, sqlite the last one.
             insert_id = max((cursor.lastrowid or 0) - affected + 1, 0)
             self.insert_id = insert_id or self.insert_id
         cursor.close()
-        return Answer(affected_rows=affected, insert_id=insert_id)
+        return StatementResult(affected_rows=affected, insert_id=insert_id)
 
     def _generates_keys(self, table: str) -> bool:
-        if table not in self.key_tables:
-            row = self.database.execute(
+        if table not in self.generates_keys:
+            row = self.connection.execute(
                 "SELECT sql FROM sqlite_master WHERE lower(name) = ?", (table,)
             ).fetchone()
-            self.key_tables[table] = row is not None and "AUTOINCREMENT" in row[0]
-        return self.key_tables[table]
+            self.generates_keys[table] = row is not None and "AUTOINCREMENT" in row[0]
+        return self.generates_keys[table]
 
-    async def _define(self, statement: Statement) -> Answer:
-        temporary = _TEMPORARY.match(statement.text)
-        if temporary or statement.target in self.temporary_tables:
-            self.database.execute(
+    async def _run_definition(self, statement: Statement) -> StatementResult:
+        created = _TEMPORARY.match(statement.text)
+        if created or statement.target in self.temporary_tables:
+            self.connection.execute(
                 re.sub(r"DROP\s+TEMPORARY", "DROP", statement.sql, flags=re.I)
             )
-            if temporary:
-                self.temporary_tables.add(temporary.group(1).lower())
-            return Answer()
-        # Definitions commit the open transaction, as in MySQL.
+            if created:
+                self.temporary_tables.add(created.group(1).lower())
+            return StatementResult()
+        # As in MySQL, DDL commits the open transaction.
         self.commit()
-        self.key_tables.clear()
-        await self._lock()
+        self.generates_keys.clear()
+        await self._acquire_write_lock()
         try:
             affected = self._execute(statement).affected_rows
         except BaseException:
@@ -242,12 +246,14 @@
             raise
         self.changes.append(statement.sql)
         self.commit()
-        return Answer(affected_rows=affected if statement.keyword != "CREATE" else 0)
+        return StatementResult(
+            affected_rows=affected if statement.keyword != "CREATE" else 0
+        )
 
     def commit(self) -> None:
         """Commit the open transaction, if there is one."""
-        if self.aborted:
-            self.aborted = False
+        if self.is_aborted:
+            self.is_aborted = False
             self.member.require_writable()
             raise MemberError(1213, "40001", "transaction was rolled back")
         if self.changes:
@@ -258,39 +264,39 @@
                 raise
             member = self.member
             member.faults.before_commit()
-            member.log.append(self.database, member.state.term, self.changes)
+            member.log.append(self.connection, member.state.term, self.changes)
             member.faults.after_commit()
-        elif self.database.in_transaction:
-            self.database.execute("COMMIT")
-        self._end()
+        elif self.connection.in_transaction:
+            self.connection.execute("COMMIT")
+        self._reset_transaction()
 
     def rollback(self) -> None:
-        """Undo the open transaction, if there is one."""
-        if self.database.in_transaction:
-            self.database.execute("ROLLBACK")
-        self._end()
+        """Roll back the open transaction, if there is one."""
+        if self.connection.in_transaction:
+            self.connection.execute("ROLLBACK")
+        self._reset_transaction()
 
-    def _end(self) -> None:
+    def _reset_transaction(self) -> None:
         self.in_transaction = False
         self.changes = []
-        if self.holds_lock:
-            self.holds_lock = False
+        if self.has_write_lock:
+            self.has_write_lock = False
             self.member.log.write_lock.release()
 
     def abort(self) -> None:
-        """Roll back a transaction that holds the write lock."""
-        if self.holds_lock:
+        """Roll back the open transaction if it holds the write lock."""
+        if self.has_write_lock:
             was_open = self.in_transaction
             self.rollback()
-            self.aborted = was_open
+            self.is_aborted = was_open
 
     def close(self) -> None:
-        """End the session and undo its open transaction."""
+        """End the session and roll back its open transaction."""
         self.member.sessions.discard(self)
         self.rollback()
-        self.database.close()
+        self.connection.close()
 
 
 def status_flags(session: MemberSession) -> int:
-    """Return the flags of the MySQL protocol for the transaction state."""
+    """Return the transaction state as status flags of the MySQL protocol."""
     return (1 if session.in_transaction else 0) | (2 if session.autocommit else 0)
--- a/src/radishtrack_standins/member_state.py
+++ b/src/radishtrack_standins/member_state.py
@@ -1,4 +1,4 @@
-"""Group state of a member: term, fence and role, kept in a file."""
+"""Group state of a member (term, fence and role), stored in a file."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
 from radishtrack_standins.member_dialect import MemberError
 
-STALE_TERM: Final = 1644
+STALE_TERM_ERROR: Final = 1644
 
 
 @attrs.define
 class GroupState:
-    """What the member knows of its group.
+    """Term, fence and role of a member.
 
     Parameters
     ----------
     path : pathlib.Path
-        File that keeps the state across restarts.
+        File that stores the state across restarts.
     term : int
-        The term the member belongs to.
+        Term that the member belongs to.
     fenced_term : int
-        Highest term it was fenced for.
+        Highest term for which it was fenced.
     is_primary : bool
         Whether it is the primary of `term`.
     source : str
         ``host:port`` of the primary that it follows; empty if none.
     follow_term : int
-        The term to follow. It becomes `term` at the first answer of the source that
-        shows that the log here is a prefix of the source's log.
+        Term to follow. It becomes `term` with the first response of the source that
+        shows that this member's log is a prefix of the source's log.
     """
 
     path: Path
@@ -44,16 +44,16 @@
 
     @property
     def is_fenced(self) -> bool:
-        """Whether the member waits for a higher term."""
+        """Whether the member is fenced for a higher term than its own."""
         return self.fenced_term > self.term
 
     @property
     def accepts_changes(self) -> bool:
-        """Whether clients can change data here."""
+        """Whether clients can change data on this member."""
         return self.is_primary and not self.is_fenced
 
     def save(self) -> None:
-        """Write the state to its file."""
+        """Replace the file by the current state."""
         record = attrs.asdict(self, filter=lambda a, _: a.name != "path")
         temporary = self.path.with_suffix(".tmp")
         temporary.write_text(json.dumps(record))
@@ -72,7 +72,9 @@
         if self.is_primary and self.term == term:
             return
         if self.follow_term == term:
-            raise MemberError(STALE_TERM, "45000", f"replica in term {term} already")
+            raise MemberError(
+                STALE_TERM_ERROR, "45000", f"already a replica in term {term}"
+            )
         self.term = self.fenced_term = self.follow_term = term
         self.is_primary = True
         self.source = ""
@@ -82,19 +84,21 @@
         """Make this member a replica of `source` in `term`."""
         self._require_not_below(term)
         if self.is_primary and self.term == term:
-            raise MemberError(STALE_TERM, "45000", f"primary of term {term} already")
+            raise MemberError(
+                STALE_TERM_ERROR, "45000", f"already the primary of term {term}"
+            )
         self.fenced_term = self.follow_term = term
         self.is_primary = False
         self.source = source
         self.save()
 
     def join(self) -> bool:
-        """Enter the followed term, since the log here matches the source's log.
+        """Enter the followed term once the log has matched the source's log.
 
         Returns
         -------
         bool
-            Whether this changed the term.
+            Whether the term has changed.
         """
         if self.term == self.follow_term:
             return False
@@ -105,12 +109,14 @@
     def _require_not_below(self, term: int) -> None:
         if term < self.fenced_term:
             raise MemberError(
-                STALE_TERM, "45000", f"term {term} is below {self.fenced_term}"
+                STALE_TERM_ERROR,
+                "45000",
+                f"term {term} is below the fenced term {self.fenced_term}",
             )
 
 
 def load_state(directory: Path, *, source: str, term: int) -> GroupState:
-    """Return the state of a data directory, or the first state of a new one."""
+    """Load the state of a data directory, or store the initial state of a new one."""
     path = directory / "state.json"
     if path.exists():
         return GroupState(path=path, **json.loads(path.read_text()))
--- a/src/radishtrack_standins/platform.py
+++ b/src/radishtrack_standins/platform.py
@@ -74,7 +74,7 @@
     async def announce(request: web.Request) -> web.Response:
         body = await request.json()
         if body.get("state") not in ("live", "leaving"):
-            raise web.HTTPBadRequest(text="state")
+            raise web.HTTPBadRequest(text="state must be live or leaving")
         vms.set(request.match_info["id"], {**body, "id": request.match_info["id"]})
         return web.json_response({})
 
