--- a/src/radishtrack_standins/soak/__init__.py
+++ b/src/radishtrack_standins/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized faults on real nodes, while clients check what the product promises."""
+"""Soak test: random faults on real nodes, while clients check the guarantees."""
--- a/src/radishtrack_standins/soak/__main__.py
+++ b/src/radishtrack_standins/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Command line of the soak."""
+"""Command line of the soak test."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def main() -> int:
-    """Run seeds one after the other; return 1 if a promise was broken."""
+    """Run the seeds in sequence; return 1 if a guarantee was violated."""
     parser = argparse.ArgumentParser(prog="radishtrack_standins.soak")
     parser.add_argument("--seed", type=int, default=1, help="first seed")
     parser.add_argument("--seeds", type=int, default=1, help="number of seeds")
@@ -24,8 +24,8 @@
     for seed in range(arguments.seed, arguments.seed + arguments.seeds):
         directory = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
         ledger = asyncio.run(run_soak(seed, arguments.length, directory))
-        verdict = "; ".join(ledger.violations) or "kept"
-        print(f"seed {seed}: {verdict} {dict(ledger.outcomes)}", flush=True)
+        result = "; ".join(ledger.violations) or "no violations"
+        print(f"seed {seed}: {result} {dict(ledger.outcomes)}", flush=True)
         if ledger.violations:
             failed += 1
             if arguments.logs is not None:
--- a/src/radishtrack_standins/soak/clients.py
+++ b/src/radishtrack_standins/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients that book, read and check what they are shown."""
+"""Clients that write, read and check the results of their reads."""
 
 from __future__ import annotations
 
@@ -21,11 +21,12 @@
 from radishtrack_standins.soak.group import Group
 from radishtrack_standins.soak.ledger import Ledger
 
-ANSWER_S: Final = 4.0
-"""A client that waits longer for an answer gives its connection up."""
+RESPONSE_TIMEOUT_S: Final = 4.0
+"""A client that waits longer for a response closes its connection."""
 PAUSE_S: Final = 0.03
-LEAVE_SHARE: Final = 0.02
-"""Part of the statements after which a client leaves without a word."""
+"""Pause before each session, and longest pause after a statement."""
+LEAVE_PROBABILITY: Final = 0.02
+"""Probability before each statement that a client aborts its connection."""
 
 
 @attrs.define(eq=False)
@@ -41,10 +42,10 @@
     now_ms: Callable[[], float]
     numbers: Iterator[int] = attrs.field(factory=lambda: itertools.count(1))
     own_writes: set[str] = attrs.field(factory=set)
-    """Writes of the present session that were acknowledged."""
+    """Acknowledged writes of the current session."""
 
     async def run(self) -> None:
-        """Open one session after the other."""
+        """Run sessions in sequence, each on a random node and database."""
         while True:
             await asyncio.sleep(PAUSE_S)
             node = self.random.choice(list(self.nodes.values()))
@@ -57,11 +58,11 @@
                 self.ledger.outcomes[type(error).__name__] += 1
 
     async def run_session(self, node: NodeProcess, database: str) -> None:
-        """Run statements until the connection ends, or until the client leaves."""
+        """Run statements until the connection ends or the client aborts it."""
         connection = await self.connect(node, database)
         self.own_writes = set()
         try:
-            while self.random.random() > LEAVE_SHARE:
+            while self.random.random() > LEAVE_PROBABILITY:
                 await self._run_operation(connection, database)
                 await asyncio.sleep(PAUSE_S * self.random.random())
         finally:
@@ -73,10 +74,10 @@
         Raises
         ------
         ConnectionEnded
-            If the node refuses it.
+            If the node refuses the session.
         """
         loop = asyncio.get_running_loop()
-        async with asyncio.timeout(ANSWER_S):
+        async with asyncio.timeout(RESPONSE_TIMEOUT_S):
             _, connection = await loop.create_connection(
                 LineConnection, node.host, node.ports["frontend"]
             )
@@ -87,47 +88,47 @@
             raise ConnectionEnded(line)
         return connection
 
-    async def ask(self, connection: LineConnection, text: str) -> tuple[str, str]:
-        """Run a statement; return its identifier and the first line of the answer."""
+    async def execute(self, connection: LineConnection, text: str) -> tuple[str, str]:
+        """Run a statement; return its identifier and the first line of the response."""
         statement_id = f"{self.name}-{next(self.numbers)}"
         connection.write(encode_line(f"QUERY {statement_id} {text}"))
-        first = ""
+        first_line = ""
         while True:
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 line = await connection.read_line()
             if line.startswith("READY"):
                 break
-            first = first or line
-        words = first.split(" ")
+            first_line = first_line or line
+        words = first_line.split(" ")
         self.ledger.outcomes[" ".join(words[: 2 if words[0] == "ERROR" else 1])] += 1
-        return statement_id, first
+        return statement_id, first_line
 
     async def _run_operation(self, connection: LineConnection, database: str) -> None:
-        draw = self.random.random()
-        if draw < 0.3:
-            self._note_write(*await self.ask(connection, "WRITE q1 x"))
-        elif draw < 0.45:
+        choice = self.random.random()
+        if choice < 0.3:
+            self._record_write(*await self.execute(connection, "WRITE q1 x"))
+        elif choice < 0.45:
             await self._run_transaction(connection)
         else:
             await self._read(connection, database)
 
     async def _run_transaction(self, connection: LineConnection) -> None:
-        _, answer = await self.ask(connection, "BEGIN")
-        if answer.startswith("ERROR"):
+        _, response = await self.execute(connection, "BEGIN")
+        if response.startswith("ERROR"):
             return
-        await self.ask(connection, "WRITE q1 x")
-        self._note_write(*await self.ask(connection, "COMMIT"))
+        await self.execute(connection, "WRITE q1 x")
+        self._record_write(*await self.execute(connection, "COMMIT"))
 
     async def _read(self, connection: LineConnection, database: str) -> None:
-        needed = self._list_needed(database)
-        _, answer = await self.ask(connection, "READ q2")
-        if answer.startswith("DATAROW"):
-            row = answer.removeprefix("DATAROW ")
+        required = self._list_required_writes(database)
+        _, response = await self.execute(connection, "READ q2")
+        if response.startswith("DATAROW"):
+            row = response.removeprefix("DATAROW ")
             log = self.group.logs[row.partition("@")[0]]
-            self.ledger.check_read(database, row, log, needed)
+            self.ledger.check_read(database, row, log, required)
 
-    def _list_needed(self, database: str) -> set[str]:
-        """Return the writes that a read which starts now must see."""
+    def _list_required_writes(self, database: str) -> set[str]:
+        """Return the writes that a read must see if it starts now."""
         now_ms = self.now_ms()
         age_ms = {
             STRICT_DATABASE: 0.0,
@@ -139,7 +140,7 @@
         acknowledged = self.ledger.acknowledged.items()
         return {name for name, at_ms in acknowledged if at_ms <= now_ms - age_ms}
 
-    def _note_write(self, statement_id: str, answer: str) -> None:
-        self.ledger.note_write(statement_id, answer, self.now_ms())
-        if answer.startswith("COMPLETE"):
+    def _record_write(self, statement_id: str, response: str) -> None:
+        self.ledger.record_write(statement_id, response, self.now_ms())
+        if response.startswith("COMPLETE"):
             self.own_writes.add(statement_id)
--- a/src/radishtrack_standins/soak/fleet.py
+++ b/src/radishtrack_standins/soak/fleet.py
@@ -1,4 +1,4 @@
-"""Real nodes as processes, with relays on all of their connections."""
+"""Node processes with relays on all connections that they open."""
 
 from __future__ import annotations
 
@@ -20,29 +20,33 @@
 from radishtrack_standins.relay import Relay, start_relay
 from radishtrack_standins.soak.group import Group
 
-PROGRAM: Final = Path(__file__).resolve().parents[3] / "deploy" / "radishtrack_node.py"
+NODE_PROGRAM: Final = (
+    Path(__file__).resolve().parents[3] / "deploy" / "radishtrack_node.py"
+)
 HOST: Final = "127.0.0.1"
-FIRST_HOST: Final = 2
-"""Last number of the first node's loopback address."""
-END_S: Final = 8.0
-"""Longest wait for a node after SIGTERM; the grace period is 6 s."""
-BOUNDS: Final = {"graceS": 6, "revokeStrict": True, "revokeMs": 5_000}
+FIRST_HOST_NUMBER: Final = 2
+"""Last octet of the first node's loopback address."""
+END_TIMEOUT_S: Final = 8.0
+"""Longest wait for a node to end after SIGTERM; its grace period is 6 s."""
+NODE_BOUNDS: Final = {"graceS": 6, "revokeStrict": True, "revokeMs": 5_000}
 
 
 @attrs.define(eq=False)
 class NodeProcess:
-    """One node; its own links go through relays.
+    """One node, whose outgoing connections go through relays.
 
     Parameters
     ----------
     name : str
         Name of the node.
     host : str
-        Loopback address of its own, because all nodes use one port for metrics.
+        Own loopback address, because all nodes use the same port for metrics.
     ports : dict
         Ports for ``frontend``, ``ready`` and ``peer``.
     relays : dict
-        Relays by what they lead to: ``store``, a member or another node.
+        Relays by target: ``store``, a member or another node.
+    directory : pathlib.Path
+        Directory of settings and logs.
     """
 
     name: str
@@ -55,7 +59,7 @@
     starts: int = 0
 
     def start(self) -> None:
-        """Start the process, unless it runs."""
+        """Start the process, unless it is running."""
         if self.process is not None and self.process.poll() is None:
             return
         self.starts += 1
@@ -63,16 +67,16 @@
         settings.write_text(json.dumps(self._make_settings()))
         with (self.directory / f"{self.name}.{self.starts}.log").open("wb") as log:
             self.process = subprocess.Popen(
-                [sys.executable, str(PROGRAM), "edge"],
+                [sys.executable, str(NODE_PROGRAM), "edge"],
                 env=os.environ | {SETTINGS_VARIABLE: str(settings)},
                 stdout=log,
                 stderr=subprocess.STDOUT,
             )
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal to the process, if it runs.
+        """Send a signal to the process, if it is running.
 
-        A process that was asked to end is not stopped: it could not end in time.
+        A process that is ending does not get SIGSTOP: it could not end in time.
         """
         if self.is_ending and number is signal.SIGSTOP:
             return
@@ -80,22 +84,25 @@
             self.process.send_signal(number)
 
     async def end(self, number: signal.Signals) -> bool:
-        """End the process with a signal; return whether it ended by itself in time."""
+        """End the process with a signal; return whether it ended in time.
+
+        A process that does not end in time is killed.
+        """
         if self.process is None:
             return True
         self.is_ending = True
         self.send(signal.SIGCONT)
         self.send(number)
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + END_S
-        while self.process.poll() is None and loop.time() < until_s:
+        deadline_s = loop.time() + END_TIMEOUT_S
+        while self.process.poll() is None and loop.time() < deadline_s:
             await asyncio.sleep(0.05)
-        in_time = self.process.poll() is not None
-        if not in_time:
+        is_in_time = self.process.poll() is not None
+        if not is_in_time:
             self.process.kill()
-        self.process.wait(END_S)
+        self.process.wait(END_TIMEOUT_S)
         self.is_ending = False
-        return in_time
+        return is_in_time
 
     def _make_settings(self) -> dict[str, Any]:
         store = f"{HOST}:{self.relays['store'].port}"
@@ -110,12 +117,12 @@
             "internalPorts": [self.ports["peer"], self.ports["peer"]],
             "platform": {"address": store},
             "cloudApi": {"address": store},
-            "bounds": BOUNDS,
+            "bounds": NODE_BOUNDS,
         }
 
 
 def make_host(number: int) -> str:
-    """Return a loopback address that no other run on this machine uses."""
+    """Return a loopback address from the process ID, so that runs do not share it."""
     process = os.getpid()
     return f"127.{process >> 8 & 255}.{process & 255}.{number}"
 
@@ -123,11 +130,11 @@
 async def make_nodes(
     names: tuple[str, ...], store: StandInStore, group: Group, directory: Path
 ) -> dict[str, NodeProcess]:
-    """Return nodes whose links to store, members and each other have relays."""
+    """Return nodes with relays to the store, the members and each other."""
     nodes = {
         name: NodeProcess(
             name,
-            make_host(FIRST_HOST + number),
+            make_host(FIRST_HOST_NUMBER + number),
             dict(zip(("frontend", "ready", "peer"), find_free_ports(3), strict=True)),
             directory,
         )
@@ -147,18 +154,18 @@
 
 
 def _make_view(node: NodeProcess) -> ShowObject:
-    """Return how a node sees addresses: as those of its own relays."""
+    """Return a view that replaces addresses by those of the node's relays."""
 
     def show(kind: str, stored: dict[str, Any]) -> dict[str, Any]:
         name = str(stored["meta"]["name"]).removeprefix("node.")
         relay = node.relays.get(name)
         if relay is None:
             return stored
-        shown = copy.deepcopy(stored)
+        translated = copy.deepcopy(stored)
         if kind == "servers":
-            shown["spec"]["address"] = f"{HOST}:{relay.port}"
-        elif "port" in shown["spec"]:
-            shown["spec"] |= {"host": HOST, "port": relay.port}
-        return shown
+            translated["spec"]["address"] = f"{HOST}:{relay.port}"
+        elif "port" in translated["spec"]:
+            translated["spec"] |= {"host": HOST, "port": relay.port}
+        return translated
 
     return show
--- a/src/radishtrack_standins/soak/ledger.py
+++ b/src/radishtrack_standins/soak/ledger.py
@@ -1,4 +1,4 @@
-"""What clients were told and what members ran, and the promises that both must keep."""
+"""Outcomes reported to clients, statements run by members, and checks of both."""
 
 from __future__ import annotations
 
@@ -11,25 +11,27 @@
 RATE_EXCESS: Final = 0.1
 RATE_MARGIN: Final = 20
 REVOKE_MS: Final = 5_000.0
-"""Bounds of the users' pages: rates in any window, and when a revoked key has ended."""
+"""Bounds stated by the users: rates in any window, and use of a revoked key."""
 
 
 @attrs.define(eq=False)
 class Ledger:
-    """Collects what happens and the violations that show at once."""
+    """Record of a run, with the violations found so far."""
 
     violations: list[str] = attrs.field(factory=list)
     acknowledged: dict[str, float] = attrs.field(factory=dict)
-    """Writes that clients were told to be kept, and when."""
+    """Times in milliseconds at which writes were acknowledged, by identifier."""
     refused: set[str] = attrs.field(factory=set)
-    """Writes that clients were told not to have run."""
+    """Writes that were reported as not run."""
     runs: dict[str, list[float]] = attrs.field(factory=lambda: defaultdict(list))
-    """When statements of an organisation ran."""
+    """Times in milliseconds at which statements ran, by organisation."""
     revoked_ms: dict[str, float] = attrs.field(factory=dict)
+    """Times at which keys were revoked, by organisation."""
     outcomes: Counter[str] = attrs.field(factory=Counter)
+    """Counts of responses and errors that clients received."""
 
-    def note_run(self, organisation: str, now_ms: float) -> None:
-        """Record that a member has run a statement."""
+    def record_run(self, organisation: str, now_ms: float) -> None:
+        """Record that a member ran a statement; report it if its key has ended."""
         self.runs[organisation].append(now_ms)
         revoked_ms = self.revoked_ms.get(organisation)
         if revoked_ms is not None and now_ms > revoked_ms + REVOKE_MS:
@@ -38,52 +40,54 @@
                 f"{organisation} ran {late_ms:.0f} ms after its key was revoked"
             )
 
-    def note_write(self, statement_id: str, answer: str, now_ms: float) -> None:
-        """Record the answer to a write."""
-        if answer.startswith("COMPLETE"):
+    def record_write(self, statement_id: str, response: str, now_ms: float) -> None:
+        """Record the reported outcome of a write."""
+        if response.startswith("COMPLETE"):
             self.acknowledged[statement_id] = now_ms
-        elif answer.startswith("ERROR BUSY"):
+        elif response.startswith("ERROR BUSY"):
             self.refused.add(statement_id)
 
-    def check_read(self, kind: str, row: str, log: list[str], needed: set[str]) -> None:
-        """Check that a read has seen all writes that it must see.
+    def check_read(
+        self, kind: str, row: str, log: list[str], required: set[str]
+    ) -> None:
+        """Check that a read saw all required writes.
 
         Parameters
         ----------
         kind : str
-            Kind of the read.
+            Kind of the read, for the message.
         row : str
-            Row that ends with the position, ``member@term.sequence``.
+            Result row, ``member@term.sequence``: the position of the read.
         log : list of str
             Writes in the member's log.
         needed : set of str
             Writes that the read must see.
         """
         sequence = int(row.rpartition(".")[2])
-        missing = needed - set(log[:sequence])
+        missing = required - set(log[:sequence])
         if missing:
             self.violations.append(
-                f"{kind} read {row!r} lacks {len(missing)} of {len(needed)} writes"
+                f"{kind} read {row!r} lacks {len(missing)} of {len(required)} writes"
             )
 
     def check_logs(self, log: list[str]) -> None:
-        """Check the log of the last primary against what clients were told."""
+        """Check the log of the last primary against the reported outcomes."""
         counts = Counter(log)
         lost = [name for name in self.acknowledged if not counts[name]]
-        doubled = [name for name, count in counts.items() if count > 1]
-        false = [name for name in self.refused if counts[name]]
-        for what, names in (
+        duplicated = [name for name, count in counts.items() if count > 1]
+        ran_although_refused = [name for name in self.refused if counts[name]]
+        for description, names in (
             ("acknowledged writes are lost", lost),
-            ("writes ran twice", doubled),
-            ("writes ran that were refused", false),
+            ("writes ran twice", duplicated),
+            ("writes ran that were refused", ran_although_refused),
         ):
             if names:
-                self.violations.append(f"{len(names)} {what}: {names[:3]}")
+                self.violations.append(f"{len(names)} {description}: {names[:3]}")
 
     def check_rate(self, organisation: str, rate_per_s: float, burst: float) -> None:
-        """Check an organisation's rate over every window."""
-        most = rate_per_s * RATE_WINDOW_MS / 1000 + burst
-        limit = most * (1.0 + RATE_EXCESS) + RATE_MARGIN
+        """Check the rate of an organisation in every window of `RATE_WINDOW_MS`."""
+        allowed = rate_per_s * RATE_WINDOW_MS / 1000 + burst
+        limit = allowed * (1.0 + RATE_EXCESS) + RATE_MARGIN
         times = self.runs[organisation]
         start = 0
         for index, at_ms in enumerate(times):
--- a/src/radishtrack_standins/soak/run.py
+++ b/src/radishtrack_standins/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak: a fleet, clients, the faults of a seed, and the verdict."""
+"""One run of the soak test: a fleet, clients, the faults of a seed and checks."""
 
 from __future__ import annotations
 
@@ -27,27 +27,27 @@
 from radishtrack_standins.soak.ledger import Ledger
 from radishtrack_standins.soak.schedule import Fault, draw_faults
 
-NODES: Final = ("edge-1", "edge-2", "edge-3")
+NODE_NAMES: Final = ("edge-1", "edge-2", "edge-3")
 ORGANISATIONS: Final = {"verksted": "key-1", "storgata": "key-2"}
 RATE_PER_S: Final = 150
 BURST: Final = 150
 CLIENTS: Final = 8
-BEAT_S: Final = 0.5
-"""Pause between looks at whether members' entries have changed."""
-START_S: Final = 12.0
-RECOVER_S: Final = 15.0
-"""After the last fault, every node serves a write within this time (`recoverS`)."""
-MOST_LOST_ANSWERS: Final = 12
-WAKE_S: Final = 1.0
-"""Time that a woken node has with a primary that was replaced."""
+MEMBER_UPDATE_INTERVAL_S: Final = 0.5
+"""Interval at which changed entries of members are written."""
+START_TIMEOUT_S: Final = 12.0
+RECOVERY_TIMEOUT_S: Final = 15.0
+"""Time within which every node serves a write after the last fault (`recoverS`)."""
+MAX_LOST_RESPONSES: Final = 12
+STALE_PRIMARY_S: Final = 1.0
+"""Time for which a resumed node reaches the replaced primary."""
 
-Steps = tuple[Callable[[], Awaitable[None]], Callable[[], Awaitable[None]]]
-"""What begins and what ends a fault."""
+FaultActions = tuple[Callable[[], Awaitable[None]], Callable[[], Awaitable[None]]]
+"""Functions that begin and end a fault."""
 
 
 @attrs.define(eq=False)
 class Soak:
-    """State of a run; make it with `open_soak`."""
+    """State of a run; made by `open_soak`."""
 
     store: StandInStore
     group: Group
@@ -56,53 +56,53 @@
     now_ms: Callable[[], float]
     version: int = 0
     rate_per_s: float = RATE_PER_S
-    highest_rate: float = RATE_PER_S
+    highest_rate_per_s: float = RATE_PER_S
 
     def configure(self) -> None:
-        """Write the configuration as an operator does."""
+        """Write the next version of the configuration."""
         self.version += 1
-        self.highest_rate = max(self.highest_rate, self.rate_per_s)
+        self.highest_rate_per_s = max(self.highest_rate_per_s, self.rate_per_s)
         self.store.put("config", "main", self._make_config())
 
     def revoke(self, organisation: str) -> None:
-        """Withdraw an organisation's only key."""
+        """Revoke the only key of an organisation."""
         self.ledger.revoked_ms[organisation] = self.now_ms()
         self.configure()
 
     def register_members(self) -> None:
-        """Write the members' entries that have changed."""
+        """Write the entries of members that have changed."""
         for member in self.group.members.values():
             spec = make_member_entry(member, slots=4)
             present = self.store.objects.get(("servers", member.name))
             if present is None or present["spec"] != spec:
                 self.store.put("servers", member.name, spec)
 
-    def order(self, group: str, member: str) -> int:
-        """Carry out a promotion unless its fencing token is older than another."""
+    def handle_promotion_order(self, group: str, member: str) -> int:
+        """Carry out a promotion, unless its fencing token is below an earlier one."""
         tokens = [token for *_, token in self.store.orders]
         if tokens[-1] < max(tokens):
             return 409
         return self.group.promote(group, member)
 
     async def inject(self, fault: Fault) -> None:
-        """Apply a fault, wait, and end it."""
+        """Begin a fault at its time, and end it after its duration."""
         await asyncio.sleep(fault.at_s)
         node, relay = self.nodes[fault.node], None
         if fault.target in node.relays:
             relay = node.relays[fault.target]
         begin, end = self._make_fault(fault, node, relay)
         await begin()
-        await asyncio.sleep(fault.for_s)
+        await asyncio.sleep(fault.duration_s)
         await end()
 
-    async def beat(self) -> None:
-        """Keep the members' entries up to date; never returns."""
+    async def update_members(self) -> None:
+        """Write changed entries of members at an interval; never returns."""
         while True:
             self.register_members()
-            await asyncio.sleep(BEAT_S)
+            await asyncio.sleep(MEMBER_UPDATE_INTERVAL_S)
 
     async def heal(self) -> None:
-        """End everything that may still be wrong."""
+        """End all faults; start stopped members and nodes."""
         self.store.faults.status = 0
         self.store.faults.delay_s = self.store.faults.lose_writes = 0
         self.group.isolated.clear()
@@ -116,10 +116,10 @@
             node.send(signal.SIGCONT)
             node.start()
 
-    async def await_service(self, limit_s: float) -> list[str]:
-        """Return the nodes that do not serve a write within a time."""
+    async def list_unavailable_nodes(self, timeout_s: float) -> list[str]:
+        """Return the nodes that do not serve a write within `timeout_s`."""
         served = await asyncio.gather(
-            *(self._serves(node, limit_s) for node in self.nodes.values())
+            *(self._is_serving_within(node, timeout_s) for node in self.nodes.values())
         )
         return [
             name for name, is_ok in zip(self.nodes, served, strict=True) if not is_ok
@@ -137,31 +137,31 @@
             self.now_ms,
         )
 
-    async def _serves(self, node: NodeProcess, limit_s: float) -> bool:
+    async def _is_serving_within(self, node: NodeProcess, timeout_s: float) -> bool:
         client = self.make_client(f"probe-{node.name}-{self.version}", "verksted", 0)
-        until_ms = self.now_ms() + limit_s * 1000
-        while self.now_ms() < until_ms:
+        deadline_ms = self.now_ms() + timeout_s * 1000
+        while self.now_ms() < deadline_ms:
             try:
                 connection = await client.connect(node, STRICT_DATABASE)
-                statement_id, answer = await client.ask(connection, "WRITE q1 x")
+                statement_id, response = await client.execute(connection, "WRITE q1 x")
                 connection.abort()
             except (ConnectionEnded, OSError, TimeoutError):
-                answer = ""
+                response = ""
             else:
-                self.ledger.note_write(statement_id, answer, self.now_ms())
-            if answer.startswith("COMPLETE"):
+                self.ledger.record_write(statement_id, response, self.now_ms())
+            if response.startswith("COMPLETE"):
                 return True
             await asyncio.sleep(0.1)
         return False
 
     def _make_fault(
         self, fault: Fault, node: NodeProcess, relay: Relay | None
-    ) -> Steps:
-        """Return what begins and what ends a fault."""
+    ) -> FaultActions:
+        """Return the functions that begin and end a fault."""
         faults = self.store.faults
         member = self.group.members.get(fault.target)
 
-        async def nothing() -> None:
+        async def do_nothing() -> None:
             return
 
         async def start() -> None:
@@ -175,10 +175,10 @@
         async def set_store(status: int, delay_s: float) -> None:
             faults.status, faults.delay_s = status, delay_s
 
-        async def lose(writes: int, answers: int) -> None:
+        async def lose_responses(writes: int, responses: int) -> None:
             faults.lose_writes += writes
             if member is not None:
-                member.faults.lose_answers += answers
+                member.faults.lose_answers += responses
 
         async def set_rate() -> None:
             self.rate_per_s = RATE_PER_S * (0.3 + fault.strength)
@@ -211,12 +211,12 @@
                 slow_s = 0.1 + 0.4 * fault.strength
                 return lambda: set_store(0, slow_s), lambda: set_store(0, 0.0)
             case "store_loses_answers":
-                return lambda: lose(2, 0), nothing
+                return lambda: lose_responses(2, 0), do_nothing
             case "answer_lost":
-                answers = 1 + int(MOST_LOST_ANSWERS * fault.strength)
-                return lambda: lose(0, answers), nothing
+                responses = 1 + int(MAX_LOST_RESPONSES * fault.strength)
+                return lambda: lose_responses(0, responses), do_nothing
             case "rate":
-                return set_rate, nothing
+                return set_rate, do_nothing
             case "cut_one_way":
                 name = "cut_to_target" if fault.strength < 0.5 else "cut_from_target"
                 return (
@@ -239,7 +239,7 @@
                 return lambda: set_relay(refuse=True), lambda: set_relay(refuse=False)
         raise ValueError(f"unknown fault {fault.kind}")
 
-    def _make_primary_crash(self) -> Steps:
+    def _make_primary_crash(self) -> FaultActions:
         crashed: list[str] = []
 
         async def begin() -> None:
@@ -253,11 +253,11 @@
 
         return begin, end
 
-    def _make_primary_isolation(self, node: NodeProcess) -> Steps:
-        """Return a cut of the primary from all but one node, which is frozen.
+    def _make_primary_isolation(self, node: NodeProcess) -> FaultActions:
+        """Return a fault that freezes a node and cuts the primary from all others.
 
-        The node wakes with what it believed before, and reaches a member that does not
-        know of its replacement.
+        The node resumes with outdated evidence, and reaches a primary that does not
+        know that it was replaced.
         """
         isolated: list[str] = []
         others = [other for other in self.nodes.values() if other is not node]
@@ -273,7 +273,7 @@
 
         async def end() -> None:
             node.send(signal.SIGCONT)
-            await asyncio.sleep(WAKE_S)
+            await asyncio.sleep(STALE_PRIMARY_S)
             for name in isolated:
                 self.group.isolated.discard(name)
                 for other in others:
@@ -293,28 +293,28 @@
 
 @asynccontextmanager
 async def open_soak(directory: Path) -> AsyncIterator[Soak]:
-    """Start the store, the members and the nodes, and end them afterwards."""
+    """Start the store, members and nodes; stop them on exit."""
     store = StandInStore()
     await store.start()
     group = await start_group()
     ledger = Ledger()
     clock = make_boot_clock()
     for member in group.members.values():
-        member.on_run = lambda organisation, _id: ledger.note_run(
+        member.on_run = lambda organisation, _id: ledger.record_run(
             organisation, clock.now_ms()
         )
-    nodes = await make_nodes(NODES, store, group, directory)
+    nodes = await make_nodes(NODE_NAMES, store, group, directory)
     soak = Soak(store, group, nodes, ledger, clock.now_ms)
-    store.on_order = soak.order
+    store.on_order = soak.handle_promotion_order
     soak.register_members()
     soak.configure()
-    beat = asyncio.create_task(soak.beat())
+    update_task = asyncio.create_task(soak.update_members())
     try:
         for node in nodes.values():
             node.start()
         yield soak
     finally:
-        beat.cancel()
+        update_task.cancel()
         for node in nodes.values():
             await node.end(signal.SIGKILL)
             for relay in node.relays.values():
@@ -324,11 +324,13 @@
 
 
 async def run_soak(seed: int, length_s: float, directory: Path) -> Ledger:
-    """Run the faults of a seed and return what was seen."""
+    """Run the faults of a seed and return the ledger with its violations."""
     async with open_soak(directory) as soak:
         ledger = soak.ledger
-        if missing := await soak.await_service(START_S):
-            ledger.violations.append(f"{missing} did not start to serve")
+        if unavailable := await soak.list_unavailable_nodes(START_TIMEOUT_S):
+            ledger.violations.append(
+                f"{unavailable} did not serve a write after the start"
+            )
             return ledger
         names = [f"c{number}" for number in range(CLIENTS)]
         tasks = [
@@ -337,12 +339,14 @@
             )
             for number, name in enumerate(names)
         ]
-        faults = draw_faults(seed, length_s, NODES, MEMBERS)
+        faults = draw_faults(seed, length_s, NODE_NAMES, MEMBERS)
         await asyncio.gather(*(soak.inject(fault) for fault in faults))
         await soak.heal()
         soak.revoke("storgata")
-        if missing := await soak.await_service(RECOVER_S):
-            ledger.violations.append(f"{missing} did not recover")
+        if unavailable := await soak.list_unavailable_nodes(RECOVERY_TIMEOUT_S):
+            ledger.violations.append(
+                f"{unavailable} did not recover after the last fault"
+            )
         await asyncio.sleep(1.0)
         for task in tasks:
             task.cancel()
@@ -354,5 +358,5 @@
             ledger.check_logs(soak.group.logs[primary.name])
         ledger.outcomes["promotion orders"] = len(soak.store.orders)
         for organisation in ORGANISATIONS:
-            ledger.check_rate(organisation, soak.highest_rate, BURST)
+            ledger.check_rate(organisation, soak.highest_rate_per_s, BURST)
         return ledger
--- a/src/radishtrack_standins/soak/schedule.py
+++ b/src/radishtrack_standins/soak/schedule.py
@@ -1,4 +1,4 @@
-"""Series of overlapping faults that a seed determines."""
+"""Schedule of overlapping faults, determined by a seed."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 import attrs
 
 FAULTS_PER_S: Final = 1.2
-"""With their lengths below, about two faults are in force at any time."""
-SHORTEST_S: Final = 0.3
-LONGEST_S: Final = 3.5
-"""Longer than all timeouts of a node, so that both sides of each are met."""
-SERIES_SHARE: Final = 0.3
-"""Part of the faults that come again soon after at the same place."""
+"""With the durations below, about two faults are active at any time."""
+MIN_DURATION_S: Final = 0.3
+MAX_DURATION_S: Final = 3.5
+"""Above all timeouts of a node, so that faults end before and after each."""
+REPEAT_PROBABILITY: Final = 0.3
+"""Probability that a fault repeats soon after with the same node and target."""
 WEIGHTS: Final = {
     "kill": 2,
     "terminate": 1,
@@ -32,8 +32,8 @@
     "answer_lost": 3,
     "rate": 1,
 }
-PROMOTION_S: Final = 4.0
-"""A primary stays away for at least as long, which a change of primary needs."""
+PROMOTION_ALLOWANCE_S: Final = 4.0
+"""Added to faults of a primary, so that they outlast a change of primary."""
 PRIMARY_FAULTS: Final = frozenset({"crash_primary", "isolate_primary"})
 LINK_FAULTS: Final = frozenset({"cut", "cut_one_way", "delay", "reset"})
 
@@ -45,19 +45,19 @@
     Parameters
     ----------
     at_s : float
-        When it begins, from the start of the run.
-    for_s : float
-        How long it lasts.
+        Time from the start of the faults until it begins.
+    duration_s : float
+        Duration.
     kind : str
         A key of `WEIGHTS`.
     node, target : str
-        The node, and the other end of its link or the member.
+        The node, and the member or the other end of the node's link.
     strength : float
-        Between 0 and 1; what it means depends on the kind.
+        Strength between 0 and 1; its meaning depends on the kind.
     """
 
     at_s: float
-    for_s: float
+    duration_s: float
     kind: str
     node: str
     target: str
@@ -67,30 +67,30 @@
 def draw_faults(
     seed: int, length_s: float, nodes: Sequence[str], members: Sequence[str]
 ) -> list[Fault]:
-    """Return the faults of a run in the order of their times."""
+    """Return the faults of a run, sorted by start time."""
     random = Random(seed)
-    faults = list(_draw(random, length_s, nodes, members))
+    faults = list(_generate_faults(random, length_s, nodes, members))
     return sorted(faults, key=lambda fault: fault.at_s)
 
 
-def _draw(
+def _generate_faults(
     random: Random, length_s: float, nodes: Sequence[str], members: Sequence[str]
 ) -> Iterator[Fault]:
     for _ in range(int(length_s * FAULTS_PER_S)):
         kind = random.choices(list(WEIGHTS), list(WEIGHTS.values()))[0]
         node = random.choice(nodes)
-        ends = members
+        targets = members
         if kind in LINK_FAULTS:
-            ends = [*members, "store", *(other for other in nodes if other != node)]
+            targets = [*members, "store", *(other for other in nodes if other != node)]
         fault = Fault(
             at_s=random.uniform(0.0, length_s),
-            for_s=random.uniform(SHORTEST_S, LONGEST_S)
-            + (PROMOTION_S if kind in PRIMARY_FAULTS else 0.0),
+            duration_s=random.uniform(MIN_DURATION_S, MAX_DURATION_S)
+            + (PROMOTION_ALLOWANCE_S if kind in PRIMARY_FAULTS else 0.0),
             kind=kind,
             node=node,
-            target=random.choice(ends),
+            target=random.choice(targets),
             strength=random.random(),
         )
         yield fault
-        if random.random() < SERIES_SHARE:
-            yield attrs.evolve(fault, at_s=fault.at_s + fault.for_s + 0.2)
+        if random.random() < REPEAT_PROBABILITY:
+            yield attrs.evolve(fault, at_s=fault.at_s + fault.duration_s + 0.2)
