--- a/src/radishtrack_standins/soak/fleet.py
+++ b/src/radishtrack_standins/soak/fleet.py
@@ -43,10 +43,10 @@
         Own loopback address, because all nodes use the same port for metrics.
     ports : dict
         Ports for ``frontend``, ``ready`` and ``peer``.
-    relays : dict
-        Relays by target: ``store``, a member or another node.
     directory : pathlib.Path
         Directory of settings and logs.
+    relays : dict
+        Relays by target: ``store``, a member or another node.
     """
 
     name: str
--- a/tests/test_platform_standin.py
+++ b/tests/test_platform_standin.py
@@ -1,4 +1,4 @@
-"""Guards that the platform stand-in keeps the platform's contract under faults."""
+"""Tests that the platform stand-in keeps the platform's contract under faults."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 async def call(
     http: aiohttp.ClientSession, method: str, url: str, body: Any = None
 ) -> tuple[int, Any]:
-    async with http.request(method, url, json=body) as answer:
-        return answer.status, await answer.json()
+    async with http.request(method, url, json=body) as response:
+        return response.status, await response.json()
 
 
 async def put(
@@ -40,11 +40,11 @@
 ) -> tuple[int, int]:
     url = f"{platform.url}/objects/groups/{name}"
     body = {"value": {"name": name}, "expected_version": version}
-    status, answer = await call(http, "PUT", url, body)
-    return status, answer["version"]
+    status, response = await call(http, "PUT", url, body)
+    return status, response["version"]
 
 
-async def test_writes_are_conditional_and_versions_never_return(
+async def test_writes_are_conditional_and_versions_are_never_reused(
     platform: RunningPlatform, http: aiohttp.ClientSession
 ) -> None:
     url = f"{platform.url}/objects/groups/a"
@@ -53,8 +53,8 @@
     assert status == 200
     assert await put(http, platform, "a", 0) == (409, first)
     assert await put(http, platform, "a", first + 1) == (409, first)
-    _, found = await call(http, "GET", url)
-    assert found == {
+    _, stored = await call(http, "GET", url)
+    assert stored == {
         "kind": "groups",
         "name": "a",
         "version": first,
@@ -63,9 +63,9 @@
     assert (await call(http, "DELETE", url, {"expected_version": first + 1}))[0] == 409
     assert (await call(http, "DELETE", url, {"expected_version": first}))[0] == 200
     assert (await call(http, "GET", url))[0] == 404
-    status, again = await put(http, platform, "a", 0)
+    status, recreated = await put(http, platform, "a", 0)
     assert status == 200
-    assert again > first
+    assert recreated > first
 
 
 async def test_a_watch_waits_for_a_change_of_its_kinds(
@@ -75,16 +75,18 @@
     _, version = await put(http, platform, "a", 0)
     _, start = await call(http, "GET", url % (5000, 0))
     assert [item["name"] for item in start["objects"]] == ["a"]
-    waiting = asyncio.create_task(call(http, "GET", url % (5000, start["revision"])))
-    other = f"{platform.url}/objects/usage/n"
-    await call(http, "PUT", other, {"value": {}, "expected_version": 0})
-    done, _ = await asyncio.wait({waiting}, timeout=0.05)
+    pending_watch = asyncio.create_task(
+        call(http, "GET", url % (5000, start["revision"]))
+    )
+    other_url = f"{platform.url}/objects/usage/n"
+    await call(http, "PUT", other_url, {"value": {}, "expected_version": 0})
+    done, _ = await asyncio.wait({pending_watch}, timeout=0.05)
     assert not done
-    gone = f"{platform.url}/objects/groups/a"
-    await call(http, "DELETE", gone, {"expected_version": version})
-    _, answer = await waiting
-    assert [item["value"] for item in answer["objects"]] == [None]
-    _, idle = await call(http, "GET", url % (20, answer["revision"]))
+    deleted_url = f"{platform.url}/objects/groups/a"
+    await call(http, "DELETE", deleted_url, {"expected_version": version})
+    _, response = await pending_watch
+    assert [item["value"] for item in response["objects"]] == [None]
+    _, idle = await call(http, "GET", url % (20, response["revision"]))
     assert idle["objects"] == []
     counts = (await call(http, "GET", f"{platform.url}/control/counts"))[1]
     assert counts["counts"] == {"put": 2, "watch": 3, "delete": 1}
@@ -101,7 +103,7 @@
     assert (await call(http, "PUT", url, body))[0] == 413
 
 
-async def test_the_vm_list_lags(
+async def test_the_vm_list_shows_changes_after_its_lag(
     platform: RunningPlatform, http: aiohttp.ClientSession
 ) -> None:
     url = f"{platform.url}/vms"
@@ -121,7 +123,7 @@
     ("switches", "applied"),
     [({"lose_answers_count": 1}, True), ({"lose_requests_count": 1}, False)],
 )
-async def test_a_lost_write_has_the_chosen_effect(
+async def test_a_lost_write_is_applied_as_the_switch_says(
     platform: RunningPlatform,
     http: aiohttp.ClientSession,
     switches: dict[str, int],
@@ -135,7 +137,7 @@
 
 
 async def put_once(url: str) -> None:
-    """Send a body that the HTTP library cannot repeat after a lost connection."""
+    """Send a streamed body, which aiohttp cannot send again after a lost connection."""
 
     async def body() -> AsyncIterator[bytes]:
         yield b'{"value": {}, "expected_version": 0}'
@@ -144,7 +146,7 @@
         pass
 
 
-async def test_lost_answers_are_repeatable_by_seed(
+async def test_lost_responses_are_determined_by_the_seed(
     platform: RunningPlatform, http: aiohttp.ClientSession
 ) -> None:
     outcomes = []
@@ -164,24 +166,24 @@
 
 
 @pytest.mark.parametrize("outage", ["error", "silent", "refuse"])
-async def test_an_outage_ends_pending_watches_and_heals(
+async def test_an_outage_affects_pending_watches_and_can_end(
     platform: RunningPlatform, http: aiohttp.ClientSession, outage: str
 ) -> None:
     _, version = await put(http, platform, "a", 0)
     control = f"{platform.control_url}/control"
     url = f"{platform.url}/watch?kind=groups&after={version}&timeout_ms=5000"
-    waiting = asyncio.create_task(call(http, "GET", url))
+    pending_watch = asyncio.create_task(call(http, "GET", url))
     await asyncio.sleep(0.05)
     await call(http, "POST", control, {"outage": outage})
     if outage == "silent":
-        done, _ = await asyncio.wait({waiting}, timeout=0.1)
+        done, _ = await asyncio.wait({pending_watch}, timeout=0.1)
         assert not done
-        waiting.cancel()
+        pending_watch.cancel()
     elif outage == "error":
-        assert (await waiting)[0] == 503
+        assert (await pending_watch)[0] == 503
     else:
         with pytest.raises(aiohttp.ClientError):
-            await waiting
+            await pending_watch
     await call(http, "POST", control, {"outage": ""})
     assert (await call(http, "GET", f"{platform.url}/objects/groups/a"))[0] == 200
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Guards that the relay injects partitions without closing or corrupting streams."""
+"""Tests that the relay injects partitions without closing or corrupting streams."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 async def target() -> AsyncIterator[int]:
-    """Echoes lines and stores nothing."""
+    """Port of a server that echoes lines."""
 
     async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readline():
@@ -31,12 +31,12 @@
 
 @pytest.fixture
 async def relay(target: int) -> AsyncIterator[Relay]:
-    made = await start_relay(HOST, target)
-    yield made
-    await made.close()
+    running = await start_relay(HOST, target)
+    yield running
+    await running.close()
 
 
-async def silent(reader: asyncio.StreamReader) -> bool:
+async def receives_nothing(reader: asyncio.StreamReader) -> bool:
     try:
         await asyncio.wait_for(reader.read(1), 0.1)
     except TimeoutError:
@@ -52,7 +52,7 @@
         {"cut_to_target": True, "cut_from_target": True},
     ],
 )
-async def test_a_cut_is_silent_and_healing_delivers_late(
+async def test_a_cut_holds_data_back_until_it_heals(
     relay: Relay, cut: dict[str, bool]
 ) -> None:
     reader, writer = await asyncio.open_connection(HOST, relay.port)
@@ -60,24 +60,28 @@
     assert await reader.readline() == b"one\n"
     await relay.set(**cut)
     writer.write(b"two\n")
-    assert await silent(reader)
+    assert await receives_nothing(reader)
     assert not reader.at_eof()
     await relay.heal()
     assert await reader.readline() == b"two\n"
     writer.close()
 
 
-async def test_connections_opened_during_a_cut_hang(relay: Relay) -> None:
+async def test_a_connection_opened_during_a_cut_waits_until_it_heals(
+    relay: Relay,
+) -> None:
     await relay.cut()
     reader, writer = await asyncio.open_connection(HOST, relay.port)
     writer.write(b"one\n")
-    assert await silent(reader)
+    assert await receives_nothing(reader)
     await relay.heal()
     assert await reader.readline() == b"one\n"
     writer.close()
 
 
-async def test_refusal_resets_and_heals_on_the_same_port(relay: Relay) -> None:
+async def test_refusal_resets_connections_and_heals_on_the_same_port(
+    relay: Relay,
+) -> None:
     reader, writer = await asyncio.open_connection(HOST, relay.port)
     writer.write(b"one\n")
     await reader.readline()
@@ -95,7 +99,7 @@
     writer.close()
 
 
-async def test_a_delay_keeps_order_and_does_not_add_up(relay: Relay) -> None:
+async def test_a_delay_keeps_the_order_and_does_not_accumulate(relay: Relay) -> None:
     await relay.set(delay_ms=40)
     reader, writer = await asyncio.open_connection(HOST, relay.port)
     loop = asyncio.get_running_loop()
@@ -123,15 +127,15 @@
         url = f"http://{HOST}:{process.ports['control_port']}/control"
         reader, writer = await asyncio.open_connection(HOST, process.ports["port"])
         async with aiohttp.ClientSession() as session:
-            async with session.post(url, json={"cut_to_target": True}) as answer:
-                assert answer.status == 200
+            async with session.post(url, json={"cut_to_target": True}) as response:
+                assert response.status == 200
             writer.write(b"one\n")
-            assert await silent(reader)
-            async with session.post(url, json={"cut_to_target": False}) as answer:
-                assert answer.status == 200
+            assert await receives_nothing(reader)
+            async with session.post(url, json={"cut_to_target": False}) as response:
+                assert response.status == 200
             assert await reader.readline() == b"one\n"
-            async with session.post(url, json={"unknown": 1}) as answer:
-                assert answer.status == 400
+            async with session.post(url, json={"unknown": 1}) as response:
+                assert response.status == 400
         writer.close()
     finally:
         process.stop()
