--- a/src/radishtrack_standins/soak/clients.py
+++ b/src/radishtrack_standins/soak/clients.py
@@ -40,7 +40,7 @@
     group: Group
     ledger: Ledger
     now_ms: Callable[[], float]
-    numbers: Iterator[int] = attrs.field(factory=lambda: itertools.count(1))
+    statement_numbers: Iterator[int] = attrs.field(factory=lambda: itertools.count(1))
     own_writes: set[str] = attrs.field(factory=set)
     """Acknowledged writes of the current session."""
 
@@ -90,7 +90,7 @@
 
     async def execute(self, connection: LineConnection, text: str) -> tuple[str, str]:
         """Run a statement; return its identifier and the first line of the response."""
-        statement_id = f"{self.name}-{next(self.numbers)}"
+        statement_id = f"{self.name}-{next(self.statement_numbers)}"
         connection.write(encode_line(f"QUERY {statement_id} {text}"))
         first_line = ""
         while True:
--- a/src/radishtrack_standins/soak/fleet.py
+++ b/src/radishtrack_standins/soak/fleet.py
@@ -56,16 +56,16 @@
     relays: dict[str, Relay] = attrs.field(factory=dict)
     process: subprocess.Popen[bytes] | None = None
     is_ending: bool = False
-    starts: int = 0
+    start_count: int = 0
 
     def start(self) -> None:
         """Start the process, unless it is running."""
         if self.process is not None and self.process.poll() is None:
             return
-        self.starts += 1
+        self.start_count += 1
         settings = self.directory / f"{self.name}.json"
         settings.write_text(json.dumps(self._make_settings()))
-        with (self.directory / f"{self.name}.{self.starts}.log").open("wb") as log:
+        with (self.directory / f"{self.name}.{self.start_count}.log").open("wb") as log:
             self.process = subprocess.Popen(
                 [sys.executable, str(NODE_PROGRAM), "edge"],
                 env=os.environ | {SETTINGS_VARIABLE: str(settings)},
--- a/src/radishtrack_standins/soak/ledger.py
+++ b/src/radishtrack_standins/soak/ledger.py
@@ -8,8 +8,8 @@
 import attrs
 
 RATE_WINDOW_MS: Final = 5_000.0
-RATE_EXCESS: Final = 0.1
-RATE_MARGIN: Final = 20
+RATE_TOLERANCE: Final = 0.1
+RATE_MARGIN_STATEMENTS: Final = 20
 REVOKE_MS: Final = 5_000.0
 """Bounds stated by the users: rates in any window, and use of a revoked key."""
 
@@ -87,11 +87,11 @@
     def check_rate(self, organisation: str, rate_per_s: float, burst: float) -> None:
         """Check the rate of an organisation in every window of `RATE_WINDOW_MS`."""
         allowed = rate_per_s * RATE_WINDOW_MS / 1000 + burst
-        limit = allowed * (1.0 + RATE_EXCESS) + RATE_MARGIN
-        times = self.runs[organisation]
+        limit = allowed * (1.0 + RATE_TOLERANCE) + RATE_MARGIN_STATEMENTS
+        run_times_ms = self.runs[organisation]
         start = 0
-        for index, at_ms in enumerate(times):
-            while times[start] <= at_ms - RATE_WINDOW_MS:
+        for index, at_ms in enumerate(run_times_ms):
+            while run_times_ms[start] <= at_ms - RATE_WINDOW_MS:
                 start += 1
             if index - start + 1 > limit:
                 self.violations.append(
--- a/src/radishtrack_standins/soak/run.py
+++ b/src/radishtrack_standins/soak/run.py
@@ -73,8 +73,8 @@
         """Write the entries of members that have changed."""
         for member in self.group.members.values():
             spec = make_member_entry(member, slots=4)
-            present = self.store.objects.get(("servers", member.name))
-            if present is None or present["spec"] != spec:
+            stored = self.store.objects.get(("servers", member.name))
+            if stored is None or stored["spec"] != spec:
                 self.store.put("servers", member.name, spec)
 
     def handle_promotion_order(self, group: str, member: str) -> int:
@@ -118,11 +118,13 @@
 
     async def list_unavailable_nodes(self, timeout_s: float) -> list[str]:
         """Return the nodes that do not serve a write within `timeout_s`."""
-        served = await asyncio.gather(
+        is_serving = await asyncio.gather(
             *(self._is_serving_within(node, timeout_s) for node in self.nodes.values())
         )
         return [
-            name for name, is_ok in zip(self.nodes, served, strict=True) if not is_ok
+            name
+            for name, is_ok in zip(self.nodes, is_serving, strict=True)
+            if not is_ok
         ]
 
     def make_client(self, name: str, organisation: str, seed: int) -> SoakClient:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from radishtrack_standins.soak.fleet import NodeProcess
-from radishtrack_standins.soak.ledger import RATE_MARGIN, REVOKE_MS, Ledger
+from radishtrack_standins.soak.ledger import RATE_MARGIN_STATEMENTS, REVOKE_MS, Ledger
 from radishtrack_standins.soak.run import run_soak
 from radishtrack_standins.soak.schedule import (
     MAX_DURATION_S,
@@ -51,7 +51,7 @@
 def test_a_rate_is_checked_over_every_window() -> None:
     """Fixed windows would split a burst in two and miss it."""
     ledger = Ledger()
-    allowed = int((10 * 5 + 10) * 1.1 + RATE_MARGIN)
+    allowed = int((10 * 5 + 10) * 1.1 + RATE_MARGIN_STATEMENTS)
     for number in range(allowed):
         ledger.record_run("verksted", 3_000.0 + number)
     ledger.check_rate("verksted", 10, 10)
