--- a/src/radishtrack/backend/read.py
+++ b/src/radishtrack/backend/read.py
@@ -34,9 +34,9 @@
 from radishtrack.routing.options import ReadClass
 from radishtrack.routing.route import (
     EffectiveClass,
+    PollMembers,
     ReadRequest,
     ServeOn,
-    StrictRound,
     WaitForPosition,
     choose_member,
     select_preferred_member,
@@ -184,7 +184,7 @@
                 return _make_target(backend, read_request, member, role)
             case WaitForPosition(remaining_ms=remaining_ms):
                 await asyncio.sleep(min(remaining_ms, POSITION_POLL_INTERVAL_MS) / 1000)
-            case StrictRound():
+            case PollMembers():
                 target = await _choose_strict_target(backend, read_request, deadline_ms)
                 if target is not None:
                     return target
--- a/src/radishtrack/routing/route.py
+++ b/src/radishtrack/routing/route.py
@@ -124,16 +124,16 @@
 
 
 @attrs.define(frozen=True)
-class StrictRound:
+class PollMembers:
     """Poll all members now and choose on the basis of their responses."""
 
 
-Choice = ServeOn | WaitForPosition | StrictRound
+Choice = ServeOn | WaitForPosition | PollMembers
 
 _STRICT: Final = EffectiveClass(ReadClass.STRICT)
 _SESSION: Final = EffectiveClass(ReadClass.SESSION)
 _PRIMARY: Final = EffectiveClass(ReadClass.PRIMARY)
-_STRICT_ROUND: Final = StrictRound()
+_POLL_MEMBERS: Final = PollMembers()
 _START: Final = Position(0, 0)
 
 
@@ -196,16 +196,16 @@
 
     Returns
     -------
-    ServeOn, WaitForPosition or StrictRound
+    ServeOn, WaitForPosition or PollMembers
         The member; or a wait for the session's position; or a poll of all members.
     """
     read_class = request.effective.read_class
     if read_class is ReadClass.PRIMARY:
         return ServeOn(request.group.primary, Role.PRIMARY)
     if read_class is ReadClass.STRICT:
-        return _STRICT_ROUND
+        return _POLL_MEMBERS
     if read_class is ReadClass.SESSION and request.position is None:
-        return _STRICT_ROUND
+        return _POLL_MEMBERS
     member = select_preferred_member(_iterate_eligible(request), request)
     if member is not None:
         return ServeOn(member, Role.REPLICA)
@@ -285,14 +285,14 @@
 
 def _wait_or_poll(request: ReadRequest) -> Choice:
     if request.effective.read_class is not ReadClass.SESSION:
-        return _STRICT_ROUND
+        return _POLL_MEMBERS
     position = request.position
     remaining_ms = MAX_POSITION_WAIT_MS - request.waited_ms
     if position is None or remaining_ms <= 0:
-        return _STRICT_ROUND
+        return _POLL_MEMBERS
     group = request.group
     # A position of a term after the record's is not lost: the record is out of date.
     is_reachable = position.term > group.term or is_contained(
         position, group.term, group.history
     )
-    return WaitForPosition(position, remaining_ms) if is_reachable else _STRICT_ROUND
+    return WaitForPosition(position, remaining_ms) if is_reachable else _POLL_MEMBERS
--- a/tests/test_route.py
+++ b/tests/test_route.py
@@ -12,10 +12,10 @@
 from radishtrack.routing.options import ReadClass, RequestOptions
 from radishtrack.routing.route import (
     EffectiveClass,
+    PollMembers,
     ReadRequest,
     RouteClass,
     ServeOn,
-    StrictRound,
     WaitForPosition,
     choose_member,
     resolve_read_class,
@@ -57,12 +57,12 @@
     assert choose_member(ahead) == WaitForPosition(Position(2, 18), 20.0)
     waited = attrs.evolve(ahead, waited_ms=15.0)
     assert choose_member(waited) == WaitForPosition(Position(2, 18), 5.0)
-    assert choose_member(attrs.evolve(ahead, waited_ms=20.0)) == StrictRound()
+    assert choose_member(attrs.evolve(ahead, waited_ms=20.0)) == PollMembers()
 
 
 def test_a_discarded_position_is_not_waited_for() -> None:
     assert (
-        choose_member(attrs.evolve(SESSION, position=Position(1, 11))) == StrictRound()
+        choose_member(attrs.evolve(SESSION, position=Position(1, 11))) == PollMembers()
     )
 
 
@@ -84,8 +84,8 @@
 
 def test_aged_reads_need_a_recent_replica_that_contains_the_position() -> None:
     assert _choose_name(AGED) == "b"
-    assert choose_member(attrs.evolve(AGED, position=Position(2, 16))) == StrictRound()
-    assert choose_member(attrs.evolve(AGED, ages_ms={"c": 150.0})) == StrictRound()
+    assert choose_member(attrs.evolve(AGED, position=Position(2, 16))) == PollMembers()
+    assert choose_member(attrs.evolve(AGED, ages_ms={"c": 150.0})) == PollMembers()
     assert _choose_name(attrs.evolve(AGED, position=None)) == "b"
 
 
@@ -98,7 +98,7 @@
     primary = attrs.evolve(SESSION, effective=EffectiveClass(ReadClass.PRIMARY))
     assert choose_member(primary) == ServeOn("a", Role.PRIMARY)
     strict = attrs.evolve(SESSION, effective=EffectiveClass(ReadClass.STRICT))
-    assert choose_member(strict) == StrictRound()
+    assert choose_member(strict) == PollMembers()
 
 
 @pytest.mark.parametrize(
