--- a/src/radishtrack/backend/monitor.py
+++ b/src/radishtrack/backend/monitor.py
@@ -318,9 +318,9 @@
                         connection = None
                     if isinstance(error.__cause__, ConnectionRefusedError):
                         now_ms = self.clock.now_ms()
-                        self.suspicion.refused(endpoint.member, now_ms)
+                        self.suspicion.record_refusal(endpoint.member, now_ms)
                     else:
-                        self.suspicion.unresponsive(endpoint.member)
+                        self.suspicion.record_no_response(endpoint.member)
                     self._record_failure(endpoint.member, error)
                 else:
                     self._record_status(endpoint.member, status, sent_ms)
@@ -357,7 +357,7 @@
         polled = PolledStatus(status, sent_ms)
         self.board.record(polled)
         if is_healthy_status(status, self.group):
-            self.suspicion.answered(member, now_ms)
+            self.suspicion.record_healthy_status(member, now_ms)
         if member == self.group.primary:
             recent = self.board.collect_recent(now_ms - SAMPLE_WINDOW_MS)
             self.freshness.record(recent, self.group)
--- a/src/radishtrack/group/detection.py
+++ b/src/radishtrack/group/detection.py
@@ -27,11 +27,11 @@
 """Start delay of a promoter per placement rank, so that attempts seldom race."""
 
 ABANDONED_MS: Final = 1_000.0
-"""Time after which another node completes fencing that led to no promotion."""
+"""Time after which another node completes a promotion that stopped after fencing."""
 
 
 def is_healthy_status(status: MemberStatus, group: Group) -> bool:
-    """Tell whether a status shows that the member fulfils its role in the group.
+    """Return whether a status shows that the member fulfils its role in the group.
 
     A recorded primary that responds but was never promoted, or was demoted by an error,
     accepts no writes and must be suspected like an unresponsive one. A fenced primary
@@ -59,26 +59,26 @@
             member: self.last_healthy_ms.get(member, now_ms) for member in members
         }
 
-    def answered(self, member: str, now_ms: float) -> None:
-        """Record a healthy status."""
+    def record_healthy_status(self, member: str, now_ms: float) -> None:
+        """Record a healthy status, which also ends a series of refused connections."""
         if member in self.last_healthy_ms:
             self.last_healthy_ms[member] = now_ms
         self.refused_ms.pop(member, None)
 
-    def refused(self, member: str, now_ms: float) -> None:
+    def record_refusal(self, member: str, now_ms: float) -> None:
         """Record that the member's host refused a connection."""
         self.refused_ms.setdefault(member, now_ms)
 
-    def unresponsive(self, member: str) -> None:
+    def record_no_response(self, member: str) -> None:
         """Record a failure that does not show whether the member runs."""
         self.refused_ms.pop(member, None)
 
     def reset(self, member: str, now_ms: float) -> None:
         """Restart the member's suspicion time, for example after its promotion."""
-        self.answered(member, now_ms)
+        self.record_healthy_status(member, now_ms)
 
     def is_suspected(self, member: str, now_ms: float) -> bool:
-        """Tell whether the member has been unresponsive or refusing for too long."""
+        """Return whether a member was unhealthy or refused connections for too long."""
         last_healthy_ms = self.last_healthy_ms.get(member)
         if last_healthy_ms is None:
             return False
@@ -116,7 +116,7 @@
             self.votes[voter] = Vote(is_unreachable, now_ms)
 
     def has_majority(self, now_ms: float) -> bool:
-        """Tell whether a majority of all voters reports the primary unreachable.
+        """Return whether a majority of all voters reports the primary unreachable.
 
         Voters that did not respond count as opposed: otherwise one node that is cut off
         from all others would be a majority by itself.
@@ -173,7 +173,7 @@
         self.term = group.term
 
     def is_abandoned(self, now_ms: float, rank: int = 0) -> bool:
-        """Tell whether this node should complete the promotion.
+        """Return whether this node should complete the promotion.
 
         Parameters
         ----------
--- a/src/radishtrack/group/evidence.py
+++ b/src/radishtrack/group/evidence.py
@@ -79,7 +79,7 @@
 
 
 def is_in_service(status: MemberStatus, group: Group) -> bool:
-    """Tell whether a status belongs to the group's term and is not fenced."""
+    """Return whether a status belongs to the group's term and is not fenced."""
     return (
         status.member in group.members
         and status.term == group.term
@@ -114,7 +114,7 @@
 
 
 def has_term_evidence(status_round: StatusRound, group: Group) -> bool:
-    """Tell whether the group's term was still current when the round started.
+    """Return whether the group's term was still current when the round started.
 
     A member never returns to an earlier term, so a member reported unfenced in the term
     was not fenced before the round. With n - fence quorum + 1 such members fewer than
--- a/src/radishtrack/group/switchover.py
+++ b/src/radishtrack/group/switchover.py
@@ -55,7 +55,7 @@
     statuses: Iterable[MemberStatus],
     leaving: frozenset[str],
 ) -> bool:
-    """Tell whether a replica that is not leaving has the fenced primary's whole log."""
+    """Return whether a replica that is not leaving has all of the primary's log."""
     return any(
         status.position >= fenced_primary.position
         for status in _iterate_successors(statuses, group, leaving)
--- a/tests/features/rate_faults.feature
+++ b/tests/features/rate_faults.feature
@@ -1,6 +1,6 @@
 Feature: An organisation's rate limit across the fleet
   On every interval, all holders together admit at most burst + rate x length.
-  The standing share of a dead holder (here 1/6 of the rate) stays set aside for 1 h.
+  The standing share of a failed holder (here 1/6 of the rate) stays set aside for 1 h.
 
   Scenario Outline: bound and admitted rate during a fault
     Given 3 holders with drifting clocks and <rate> requests a second, burst <burst>
--- a/tests/test_group_decisions.py
+++ b/tests/test_group_decisions.py
@@ -169,7 +169,7 @@
 def test_member_is_suspected_after_the_whole_time_without_a_response() -> None:
     suspicion = Suspicion()
     suspicion.set_members(("a",), 0.0)
-    suspicion.answered("a", 100.0)
+    suspicion.record_healthy_status("a", 100.0)
     assert not suspicion.is_suspected("a", 100.0 + SUSPICION_MS - 1)
     assert suspicion.is_suspected("a", 100.0 + SUSPICION_MS)
     assert not suspicion.is_suspected("unknown", 1e9)
--- a/tests/test_group_promotion.py
+++ b/tests/test_group_promotion.py
@@ -171,7 +171,7 @@
                 self.inbox.append(make_message(status))
 
     def is_stale(self, member: ModelMember, steps: Steps) -> bool:
-        """Tell whether the member is fenced for a term above the attempt's."""
+        """Return whether the member is fenced for a term above the attempt's."""
         return member.fenced_term > self.attempt.new_term
 
 
@@ -228,7 +228,7 @@
 
 
 def is_recorded(group: Group, earlier: list[messages.Action]) -> bool:
-    """Tell whether the attempt had adopted its own record."""
+    """Return whether the attempt had adopted its own record."""
     return any(
         isinstance(action, messages.AdoptGroup)
         and action.group.attempt == group.attempt
--- a/tests/test_switchover.py
+++ b/tests/test_switchover.py
@@ -1,4 +1,4 @@
-"""Guards against a planned change of primary without need, or that loses commits."""
+"""Guards against a planned change of primary that is not needed or loses commits."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
         "replicas too far behind",
     ],
 )
-def test_when_switchover_starts(
+def test_conditions_for_a_switchover(
     statuses: tuple[MemberStatus, ...],
     leaving: frozenset[str],
     rank: int,
