--- a/src/radishtrack/backend/_waiters.py
+++ b/src/radishtrack/backend/_waiters.py
@@ -13,7 +13,7 @@
 
 @attrs.define(eq=False)
 class CommitWaiter:
-    """A request that waits for `Monitor.wait_confirmed`."""
+    """A request that waits in `Monitor.wait_confirmed`."""
 
     position: Position
     term: int
--- a/src/radishtrack/backend/database.py
+++ b/src/radishtrack/backend/database.py
@@ -46,7 +46,7 @@
         Limits retries.
     clock : Clock
         Clock of deadlines.
-    leaving : callable
+    list_leaving_members : callable
         Returns the members that get no new work.
     observe_wait : callable
         Called with the organisation and its wait for a permit in milliseconds.
@@ -59,10 +59,10 @@
     gate: Gate
     retries: RetryBudget
     clock: Clock
-    leaving: Callable[[], frozenset[str]]
+    list_leaving_members: Callable[[], frozenset[str]]
     observe_wait: ObserveWait
-    active: int = 0
-    """Requests in progress, including commits that wait without a connection."""
+    active_requests: int = 0
+    """Includes commits that wait for confirmation without a connection."""
 
     @property
     def group(self) -> Group:
@@ -78,14 +78,14 @@
         oldest_ms = self.clock.now_ms() - MAX_STATUS_AGE_MS
         return {
             member: status
-            for member, status in self.monitor.latest.items()
+            for member, status in self.monitor.latest_statuses.items()
             if self.monitor.answered_poll_sent_ms(member) >= oldest_ms
         }
 
     def has_later_term(self, group: Group) -> bool:
-        """Tell whether a member reports a later term than the record."""
-        latest = self.monitor.latest.values()
-        return any(status.term > group.term for status in latest)
+        """Return whether a member reports a later term than the record."""
+        statuses = self.monitor.latest_statuses.values()
+        return any(status.term > group.term for status in statuses)
 
     def list_zones(self) -> dict[str, str]:
         """Return the availability zone of each member."""
--- a/src/radishtrack/backend/member_commands.py
+++ b/src/radishtrack/backend/member_commands.py
@@ -151,7 +151,7 @@
 
 
 def is_refusal(error: BaseException) -> bool:
-    """Tell whether an error is a member's response, not a connection failure."""
+    """Return whether an error is a member's response, not a connection failure."""
     if not isinstance(error, pymysql.err.MySQLError) or not error.args:
         return False
     code = error.args[0]
--- a/src/radishtrack/backend/monitor.py
+++ b/src/radishtrack/backend/monitor.py
@@ -73,12 +73,12 @@
         self.is_running = False
 
     @property
-    def latest(self) -> dict[str, MemberStatus]:
+    def latest_statuses(self) -> dict[str, MemberStatus]:
         """The last status of each member that has ever responded."""
-        return self.board.latest
+        return self.board.latest_statuses
 
     def answered_poll_sent_ms(self, member: str) -> float:
-        """Return when the poll behind `latest` was sent; -inf without a response."""
+        """Return when the latest status's poll was sent; -inf without a response."""
         polled = self.board.polled.get(member)
         return -math.inf if polled is None else polled.sent_ms
 
@@ -122,7 +122,7 @@
             self._settle_commit(waiter)
 
     def is_suspected(self, member: str) -> bool:
-        """Tell whether the member is suspected to have failed; see `Suspicion`."""
+        """Return whether the member is suspected to have failed; see `Suspicion`."""
         return self.suspicion.is_suspected(member, self.clock.now_ms())
 
     async def next_round(self, deadline_ms: float) -> StatusRound:
--- a/src/radishtrack/backend/read.py
+++ b/src/radishtrack/backend/read.py
@@ -251,6 +251,6 @@
         backend.pool.in_use,
         backend.list_zones(),
         backend.zone,
-        backend.leaving() | excluded,
+        backend.list_leaving_members() | excluded,
         waited_ms,
     )
--- a/src/radishtrack/backend/status_board.py
+++ b/src/radishtrack/backend/status_board.py
@@ -21,18 +21,18 @@
     """Latest status of each member that has ever responded."""
 
     polled: dict[str, PolledStatus] = attrs.field(factory=dict)
-    latest: dict[str, MemberStatus] = attrs.field(factory=dict)
+    latest_statuses: dict[str, MemberStatus] = attrs.field(factory=dict)
     """The statuses of `polled` without their times."""
 
     def record(self, polled_status: PolledStatus) -> None:
         """Replace the status of one member."""
         self.polled[polled_status.status.member] = polled_status
-        self.latest[polled_status.status.member] = polled_status.status
+        self.latest_statuses[polled_status.status.member] = polled_status.status
 
     def remove(self, member: str) -> None:
         """Drop the status of a member that moved or left the group."""
         self.polled.pop(member, None)
-        self.latest.pop(member, None)
+        self.latest_statuses.pop(member, None)
 
     def collect(self, started_ms: float) -> StatusRound:
         """Return the statuses from polls sent at or after a time.
--- a/src/radishtrack/backend/write.py
+++ b/src/radishtrack/backend/write.py
@@ -112,8 +112,8 @@
                         connection, group, request, entry, parts, sequence_before
                     )
         except RequestError as error:
-            refused = error.failure.outcome is Outcome.NOT_RUN
-            if may_have_run and refused and error.failure.step != JOURNAL_STEP:
+            is_refused = error.failure.outcome is Outcome.NOT_RUN
+            if may_have_run and is_refused and error.failure.step != JOURNAL_STEP:
                 raise make_unknown("write", error.failure.message) from error
             raise
         except ConnectFailed:
@@ -179,7 +179,7 @@
 
 def find_sequence_before(backend: DatabaseBackend, group: Group) -> int:
     """Return a sequence that the primary's log has already reached; 0 if unknown."""
-    status = backend.monitor.latest.get(group.primary)
+    status = backend.monitor.latest_statuses.get(group.primary)
     return 0 if status is None else sequence_before(status, group)
 
 
@@ -246,12 +246,14 @@
 async def _is_journaled_confirmed(
     backend: DatabaseBackend, group: Group, executed: ExecutedWrite, deadline_ms: float
 ) -> bool:
-    """Wait for confirmation while the term lasts; later, a rerun finds the outcome."""
+    """Wait for confirmation; return False, for a rerun, if the term ends first."""
     assert executed.position is not None
     while backend.group.term == group.term:
-        step_ms = min(deadline_ms, backend.clock.now_ms() + TERM_CHECK_INTERVAL_MS)
+        check_deadline_ms = min(
+            deadline_ms, backend.clock.now_ms() + TERM_CHECK_INTERVAL_MS
+        )
         outcome = await backend.monitor.wait_confirmed(
-            executed.position, group.term, step_ms, executed.sequence_before
+            executed.position, group.term, check_deadline_ms, executed.sequence_before
         )
         if isinstance(outcome, Confirmed | RanInHistory):
             return True
--- a/src/radishtrack/group/detection.py
+++ b/src/radishtrack/group/detection.py
@@ -160,13 +160,13 @@
         self, statuses: Iterable[MemberStatus], group: Group, now_ms: float
     ) -> None:
         """Compare the members' latest statuses with the group's record."""
-        fenced = any(
+        has_fenced = any(
             status.member in group.members
             and status.fenced_term > group.term
             and not is_in_service(status, group)
             for status in statuses
         )
-        if not fenced:
+        if not has_fenced:
             self.since_ms = None
         elif self.since_ms is None or self.term != group.term:
             self.since_ms = now_ms
--- a/src/radishtrack/group/promotion.py
+++ b/src/radishtrack/group/promotion.py
@@ -164,7 +164,7 @@
 def _handle_fencing(
     attempt: AttemptState, message: Message, now_ms: float
 ) -> Iterator[Action]:
-    timed_out = False
+    has_timed_out = False
     match message:
         case MemberFenced(status):
             attempt.fenced[status.member] = status
@@ -172,11 +172,11 @@
         case MemberUnreachable(member) | MemberRefused(member):
             attempt.pending_members.discard(member)
         case DeadlinePassed():
-            timed_out = True
+            has_timed_out = True
     # The attempt began because the primary is unresponsive; waiting for its response
     # would lengthen the write outage by a whole timeout.
     optional_members = set() if attempt.is_takeover else {attempt.group.primary}
-    if not attempt.pending_members <= optional_members and not timed_out:
+    if not attempt.pending_members <= optional_members and not has_timed_out:
         return
     choice = elect(
         attempt.fenced.values(), attempt.group, attempt.new_term, attempt.leaving
@@ -187,7 +187,7 @@
             attempt.enter_step("elected", now_ms)
             yield RecordGroup(attempt.new_group, attempt.group.version)
         case NotElected(reason):
-            if not timed_out:
+            if not has_timed_out:
                 return
             if attempt.tries >= TRY_LIMIT:
                 attempt.end("gave_up", reason)
--- a/src/radishtrack/membership/__init__.py
+++ b/src/radishtrack/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which nodes are there, which databases they hold slots of, and planned stops."""
+"""Nodes of the fleet, placement of database slots on them, and planned stops."""
--- a/src/radishtrack/membership/drain.py
+++ b/src/radishtrack/membership/drain.py
@@ -58,7 +58,7 @@
     machine: Machine = attrs.field(init=False, repr=False, eq=False)
 
     def begin(self, now_ms: float) -> bool:
-        """Start the drain; returns False if it was started before."""
+        """Start the drain; return False if it was started before."""
         if self.state is not DrainState.SERVING:
             return False
         self.started_ms = now_ms
--- a/src/radishtrack/membership/nodes.py
+++ b/src/radishtrack/membership/nodes.py
@@ -51,7 +51,7 @@
     refused_until_ms: float = -math.inf
 
     def is_avoided(self, now_ms: float) -> bool:
-        """Tell whether the node gets no new work."""
+        """Return whether the node gets no new work."""
         return now_ms < max(self.leaving_until_ms, self.refused_until_ms)
 
 
--- a/src/radishtrack/membership/placement.py
+++ b/src/radishtrack/membership/placement.py
@@ -108,7 +108,7 @@
         return self._rank(database, region, max(MIN_VOTERS, slots))
 
     def set_nodes(self, nodes: Iterable[Node]) -> bool:
-        """Replace the view; returns whether a node joined, left or changed zone."""
+        """Replace the view; return whether a node joined, left or changed zone."""
         present = {node.id: node for node in nodes if not node.leaving}
         removed = [old for key, old in self.nodes.items() if not _is_same(old, present)]
         added = [node for node in present.values() if not _is_same(node, self.nodes)]
--- a/src/radishtrack/proxy/allocators.py
+++ b/src/radishtrack/proxy/allocators.py
@@ -28,7 +28,7 @@
 IDLE_MS: Final = 60_000.0
 """An allocator or share that was unused for this time is dropped."""
 
-LEASE_READ_MS: Final = 250.0
+LEASE_READ_INTERVAL_MS: Final = 250.0
 """Time between reads of a lease that another node holds."""
 
 PLAN_INTERVAL_MS: Final = 1_000.0
@@ -40,9 +40,9 @@
     """An allocator on this node, with the times and state of its maintenance."""
 
     state: Allocator
-    used_ms: float
+    last_used_ms: float
     is_busy: bool = False
-    read_ms: float = -math.inf
+    last_read_ms: float = -math.inf
 
 
 @attrs.define
@@ -130,11 +130,11 @@
             placed = self.placed[request.organisation] = PlacedAllocator(
                 make_allocator(request.organisation, self.identity, limit), now_ms
             )
-        placed.used_ms = now_ms
+        placed.last_used_ms = now_ms
         result = placed.state.on_request(request, now_ms)
         return result if isinstance(result, TokenGrant) else None
 
-    def list_idle(self) -> list[str]:
+    def list_not_busy(self) -> list[str]:
         """Return the organisations whose allocator has no maintenance under way."""
         return [name for name, placed in self.placed.items() if not placed.is_busy]
 
@@ -153,17 +153,20 @@
     async def _maintain_lease(self, name: str, placed: PlacedAllocator) -> None:
         state, now_ms = placed.state, self.clock.now_ms()
         is_placed = self.find_allocator_node(name) == self.node
-        if not is_placed or now_ms - placed.used_ms > IDLE_MS:
+        if not is_placed or now_ms - placed.last_used_ms > IDLE_MS:
             write = state.prepare_release(now_ms)
             if write is None:
                 self.placed.pop(name, None)
             else:
                 await self._write(name, state, write)
             return
-        if not state.lease.is_own and now_ms - placed.read_ms >= LEASE_READ_MS:
-            # Another allocator gives the lease up when it learns that the organisation
-            # is placed here.
-            placed.read_ms = now_ms
+        if (
+            not state.lease.is_own
+            and now_ms - placed.last_read_ms >= LEASE_READ_INTERVAL_MS
+        ):
+            # The holder of the lease releases it once it learns that the allocator is
+            # placed here.
+            placed.last_read_ms = now_ms
             await self._read(name, state)
             now_ms = self.clock.now_ms()
         if state.should_acquire(now_ms):
--- a/src/radishtrack/proxy/assembly.py
+++ b/src/radishtrack/proxy/assembly.py
@@ -197,7 +197,7 @@
 
         def list_leaving_members() -> frozenset[str]:
             backend = slots.holder.databases.get(database.name)
-            return backend.leaving() if backend else frozenset()
+            return backend.list_leaving_members() if backend else frozenset()
 
         return make_promoter(
             PromoterContext(
--- a/src/radishtrack/proxy/copies.py
+++ b/src/radishtrack/proxy/copies.py
@@ -78,7 +78,7 @@
     seeds: tuple[Address, ...]
     on_revoked: Callable[[RevokedKey], None]
     on_configured: Callable[[], None]
-    requested_ms: float = 0.0
+    last_request_ms: float = 0.0
     numbers: itertools.count[int] = attrs.field(
         factory=lambda: itertools.count(-2_000_000_000, step=-1)
     )
@@ -146,11 +146,11 @@
                 others | self._list_linked(), same_region - {self.router.node.id}
             )
             interval_ms = max(REQUEST_INTERVAL_MS, INTERVAL_PER_PEER_MS * len(others))
-            is_due = now_ms - self.requested_ms >= interval_ms
+            is_due = now_ms - self.last_request_ms >= interval_ms
             if is_due and self.contacts.is_platform_unreachable(
                 now_ms, UNREACHABLE_AFTER_MS
             ):
-                self.requested_ms = now_ms
+                self.last_request_ms = now_ms
                 await asyncio.gather(
                     *(self._request_copy(name) for name in others),
                     *(self._request_seed(seed) for seed in self._list_unlisted_seeds()),
--- a/src/radishtrack/proxy/holder.py
+++ b/src/radishtrack/proxy/holder.py
@@ -129,14 +129,14 @@
             yield self._end_lost_transaction(key, request, kind)
             return
         if transaction is not None:
-            transaction.backend.active += 1
+            transaction.backend.active_requests += 1
             try:
                 async for message in self._run_in_transaction(
                     key, transaction, request, deadline_ms
                 ):
                     yield message
             finally:
-                transaction.backend.active -= 1
+                transaction.backend.active_requests -= 1
             return
         if kind in (Kind.COMMIT, Kind.ROLLBACK):
             yield _make_empty_done(request)
@@ -144,14 +144,14 @@
         backend = self.databases.get(request.database)
         if backend is None:
             raise make_not_run("hold", f"no slot of {request.database} is held here")
-        backend.active += 1
+        backend.active_requests += 1
         try:
             async for message in self._run_outside_transaction(
                 key, backend, request, deadline_ms
             ):
                 yield message
         finally:
-            backend.active -= 1
+            backend.active_requests -= 1
 
     async def _run_outside_transaction(
         self,
--- a/src/radishtrack/proxy/node.py
+++ b/src/radishtrack/proxy/node.py
@@ -73,7 +73,7 @@
 """After this time, an unlisted node serves with its peers' copies."""
 
 IDLE_GRACE_MS: Final = 5_000.0
-"""Time in which a draining node keeps idle client connections open."""
+"""Time for which a draining node keeps idle client connections open."""
 
 DRAIN_CHECK_INTERVAL_S: Final = 0.05
 
@@ -156,7 +156,7 @@
             control=self.control,
             identity_provider=KeyIdentityProvider(self._check_key),
             max_packet_bytes=self.settings.limits.max_statement_bytes,
-            get_refusal_reason=self._refuse_reason,
+            get_refusal_reason=self._get_refusal_reason,
             capabilities=DEFAULT_SERVER_CAPABILITIES,
             ssl=make_client_side_tls(self.settings),
         )
@@ -246,7 +246,7 @@
                 return verifier.key_id
         return None
 
-    def _refuse_reason(self) -> str | None:
+    def _get_refusal_reason(self) -> str | None:
         if self.drain.state is not DrainState.SERVING:
             return "this node is shutting down"
         return None
--- a/src/radishtrack/proxy/promoter.py
+++ b/src/radishtrack/proxy/promoter.py
@@ -162,7 +162,7 @@
     def _list_recent_statuses(self, now_ms: float) -> list[MemberStatus]:
         return [
             status
-            for member, status in self.monitor.latest.items()
+            for member, status in self.monitor.latest_statuses.items()
             if now_ms - self.monitor.answered_poll_sent_ms(member) <= SUSPICION_MS
         ]
 
--- a/src/radishtrack/proxy/promoter_context.py
+++ b/src/radishtrack/proxy/promoter_context.py
@@ -20,8 +20,7 @@
     node : str
         Name of the node.
     get_rank : callable
-        Returns the node's position in the placement order; rank 0 starts a promotion
-        first.
+        Returns the node's rank in the placement order; rank 0 starts a promotion first.
     list_voters : callable
         Returns the names of all voters.
     list_leaving_members : callable
--- a/src/radishtrack/proxy/rates.py
+++ b/src/radishtrack/proxy/rates.py
@@ -72,7 +72,7 @@
     """An organisation's share at this node, and the requests that wait for tokens."""
 
     state: ShareState
-    used_ms: float
+    last_used_ms: float
     next_read_ms: float
     waiting: int = 0
     failed_requests: int = 0
@@ -139,7 +139,7 @@
         is_retry = False
         while True:
             now_ms = self.clock.now_ms()
-            held.used_ms = now_ms
+            held.last_used_ms = now_ms
             if _has_no_tokens(held):
                 # The node keeps requesting tokens, but no client waits for them.
                 self._request_tokens(held, now_ms)
@@ -178,7 +178,7 @@
         """Renew leases, return unused tokens and read lease records until cancelled."""
         while True:
             now_ms = self.clock.now_ms()
-            for name in self.allocators.list_idle():
+            for name in self.allocators.list_not_busy():
                 self._spawn(self.allocators.maintain(name))
             for name, held in tuple(self.shares.items()):
                 self._tick_share(name, held, now_ms)
@@ -290,7 +290,7 @@
         return None, ""
 
     def _tick_share(self, name: str, held: HeldShare, now_ms: float) -> None:
-        if now_ms - held.used_ms > IDLE_MS and not held.waiting:
+        if now_ms - held.last_used_ms > IDLE_MS and not held.waiting:
             del self.shares[name]
             self._spawn(self._send(held, held.state.leave(now_ms)))
             self.next_request_ids[name] = held.state.next_request_id
--- a/src/radishtrack/proxy/router.py
+++ b/src/radishtrack/proxy/router.py
@@ -120,11 +120,11 @@
         """
         deadline_ms = self.clock.now_ms() + request.timeout_ms
         last_error: RequestError | None = None
-        for position, name in enumerate(holders):
+        for index, name in enumerate(holders):
             remaining_ms = deadline_ms - self.clock.now_ms()
             if remaining_ms <= 0:
                 break
-            is_last = position == len(holders) - 1
+            is_last = index == len(holders) - 1
             # A read leaves time to try another holder if this one is unresponsive.
             share_ms = remaining_ms if is_last or not is_read else remaining_ms / 2
             has_yielded = False
--- a/src/radishtrack/proxy/slots.py
+++ b/src/radishtrack/proxy/slots.py
@@ -68,7 +68,7 @@
     closing: set[asyncio.Task[None]] = attrs.field(factory=set)
 
     def update_record(self, record: GroupRecord) -> None:
-        """Use a group record unless its version is not newer."""
+        """Set a database's group record; only a newer version replaces it."""
         name = record.group.database
         current = self.records.get(name)
         if current is not None and record.group.version <= current.group.version:
@@ -131,7 +131,9 @@
                 backend.pool.limit = database.connections_per_slot
                 backend.gate.set_connections(database.connections_per_slot)
                 backend.gate.set_weights(weights)
-                backend.leaving = partial(self._list_leaving, database)
+                backend.list_leaving_members = partial(
+                    self._list_leaving_members, database
+                )
 
     async def close(self) -> None:
         """Close all databases."""
@@ -140,7 +142,7 @@
         if self.closing:
             await asyncio.wait(self.closing)
 
-    def _list_leaving(self, database: Database) -> frozenset[str]:
+    def _list_leaving_members(self, database: Database) -> frozenset[str]:
         configured = (member.name for member in database.members if member.leaving)
         return frozenset(configured) | self.leaving_members.get(
             database.name, frozenset()
@@ -176,7 +178,7 @@
             make_gate(self.clock, limit),
             make_retry_budget(),
             self.clock,
-            partial(self._list_leaving, database),
+            partial(self._list_leaving_members, database),
             self.observe_wait,
         )
         self.holder.databases[database.name] = backend
@@ -207,7 +209,7 @@
         backend.pool.close()
 
     def _is_used(self, backend: DatabaseBackend) -> bool:
-        return backend.active > 0 or any(
+        return backend.active_requests > 0 or any(
             transaction.backend is backend
             for transaction in self.holder.transactions.values()
         )
--- a/src/radishtrack/proxy/switchover.py
+++ b/src/radishtrack/proxy/switchover.py
@@ -72,7 +72,7 @@
             return False
         deadline_ms = clock.now_ms() + CATCH_UP_TIMEOUT_MS
         while clock.now_ms() < deadline_ms and not has_caught_up(
-            fenced, group, self.monitor.latest.values(), leaving
+            fenced, group, self.monitor.latest_statuses.values(), leaving
         ):
             await asyncio.sleep(CATCH_UP_CHECK_MS / 1000)
         return True
--- a/src/radishtrack/proxy/votes.py
+++ b/src/radishtrack/proxy/votes.py
@@ -30,7 +30,7 @@
     Parameters
     ----------
     clock : Clock
-        Time since the last responses of members.
+        Measures the age of members' last responses.
     login : DatabaseLogin
         The proxy's own login at the members.
     router : Router
@@ -135,7 +135,7 @@
 
     async def _probe(self, database: str, member: str) -> bool:
         backend = self.slots.holder.databases.get(database)
-        if backend is not None and member in backend.monitor.latest:
+        if backend is not None and member in backend.monitor.latest_statuses:
             age_ms = self.clock.now_ms() - backend.monitor.answered_poll_sent_ms(member)
             if age_ms <= RECENT_RESPONSE_MS:
                 return True
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -392,7 +392,7 @@
 
 
 def test_large_result_is_complete(cluster: Cluster) -> None:
-    """It may be read at once or by row; one read in part leaves the driver usable."""
+    """A result can be read whole or by row; reading only a part must break nothing."""
     writer = connect(cluster, autocommit=True)
     with writer.cursor() as cursor:
         for start in range(0, LARGE_RESULT_ROWS, 10_000):
--- a/tests/test_group_failover.py
+++ b/tests/test_group_failover.py
@@ -65,7 +65,7 @@
         async with asyncio.timeout(20):
             while True:
                 record = await self.read()
-                status = self.monitors["q"].latest.get(record.group.primary)
+                status = self.monitors["q"].latest_statuses.get(record.group.primary)
                 if record.group.term >= term and is_installed(status, record.group):
                     return record
                 await asyncio.sleep(0.02)
@@ -188,7 +188,9 @@
         choice = choose_strict(rounds[0], monitor.group)
         assert isinstance(choice, ServeReplicas | ServeReplicasAtLeast)
         await asyncio.sleep(0.6)
-        age_ms = monitor.freshness.age_ms(monitor.latest["b"], fleet.clock.now_ms())
+        age_ms = monitor.freshness.age_ms(
+            monitor.latest_statuses["b"], fleet.clock.now_ms()
+        )
         assert age_ms < 60_000
 
 
