--- a/src/radishtrack/backend/database.py
+++ b/src/radishtrack/backend/database.py
@@ -47,9 +47,9 @@
     clock : Clock
         Clock of deadlines.
     list_leaving_members : callable
-        Returns the members that get no new work.
+        Returns the members that are being taken out of service; reads avoid them.
     observe_wait : callable
-        Called with the organisation and its wait for a permit in milliseconds.
+        Takes the organisation and its wait for a permit, in milliseconds.
     """
 
     name: str
--- a/src/radishtrack/membership/nodes.py
+++ b/src/radishtrack/membership/nodes.py
@@ -57,7 +57,7 @@
 
 @attrs.define
 class Membership:
-    """The nodes that this node knows, itself included."""
+    """The known nodes, including this one."""
 
     own: Node
     listed: dict[str, Node]
@@ -124,5 +124,5 @@
 
 
 def make_membership(own: Node) -> Membership:
-    """Return the view of a node that knows only itself."""
+    """Return a view with only this node."""
     return Membership(own, {})
--- a/src/radishtrack/membership/placement.py
+++ b/src/radishtrack/membership/placement.py
@@ -13,7 +13,7 @@
 from radishtrack.membership.nodes import Node
 
 MIN_VOTERS: Final = 3
-"""With fewer voters, one node's network problem could replace a primary."""
+"""With fewer voters, one node's network problem could cause a promotion."""
 
 ZoneOrders = dict[str, list[str]]
 """Identifiers of a region's nodes for one database, best first, by zone."""
--- a/src/radishtrack/proxy/promoter.py
+++ b/src/radishtrack/proxy/promoter.py
@@ -68,8 +68,8 @@
 """Timeout of a call to the platform, which is one step of an attempt."""
 
 VOTES_TIMEOUT_MS: Final = 1_500.0
-"""Timeout of the request for votes; longer than a step, so that the votes of the others
-count although one voter is down."""
+"""Timeout of the request for votes; longer than a step, so that the other votes count
+even if one voter is down."""
 
 
 class Promoter:
--- a/src/radishtrack/proxy/promoter_context.py
+++ b/src/radishtrack/proxy/promoter_context.py
@@ -24,7 +24,7 @@
     list_voters : callable
         Returns the names of all voters.
     list_leaving_members : callable
-        Returns the members that are to be taken out of service.
+        Returns the members that are being taken out of service.
     """
 
     node: str
--- a/src/radishtrack/proxy/slots.py
+++ b/src/radishtrack/proxy/slots.py
@@ -46,7 +46,7 @@
     placement : Placement
         Determines the nodes of each slot.
     observe_wait : callable
-        Takes organisation and the wait for a connection, in milliseconds.
+        Takes the organisation and its wait for a permit, in milliseconds.
     records : dict of str to GroupRecord
         The platform's group records, by database.
     """
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -392,7 +392,7 @@
 
 
 def test_large_result_is_complete(cluster: Cluster) -> None:
-    """A result can be read whole or by row; reading only a part must break nothing."""
+    """A result is read whole and by row; a partial read leaves the driver usable."""
     writer = connect(cluster, autocommit=True)
     with writer.cursor() as cursor:
         for start in range(0, LARGE_RESULT_ROWS, 10_000):
@@ -522,7 +522,7 @@
 
 
 def test_options_with_a_key_are_refused(cluster: Cluster, connection: Any) -> None:
-    """A key as request ID would be stored in the database's journal."""
+    """A key given as request ID would be stored in the database's journal."""
     option = f"/*radishtrack request_id={cluster.keys[OTHER]}*/ "
     assert catch_error_code(insert, connection, "a", option) == 9001
 
--- a/tests/test_monitor.py
+++ b/tests/test_monitor.py
@@ -1,4 +1,4 @@
-"""Guards that rounds are fresh and shared and that polls leak no connection."""
+"""Guards against outdated or unshared rounds and against leaked connections."""
 
 from __future__ import annotations
 
