--- a/src/radishtrack/backend/monitor.py
+++ b/src/radishtrack/backend/monitor.py
@@ -73,12 +73,12 @@
         self.is_running = False
 
     @property
-    def latest(self) -> dict[str, MemberStatus]:
+    def latest_statuses(self) -> dict[str, MemberStatus]:
         """The last status of each member that has ever responded."""
-        return self.board.latest
+        return self.board.latest_statuses
 
     def answered_poll_sent_ms(self, member: str) -> float:
-        """Return when the poll behind `latest` was sent; -inf without a response."""
+        """Return when the latest status's poll was sent; -inf without a response."""
         polled = self.board.polled.get(member)
         return -math.inf if polled is None else polled.sent_ms
 
@@ -122,7 +122,7 @@
             self._settle_commit(waiter)
 
     def is_suspected(self, member: str) -> bool:
-        """Tell whether the member is suspected to have failed; see `Suspicion`."""
+        """Return whether the member is suspected to have failed; see `Suspicion`."""
         return self.suspicion.is_suspected(member, self.clock.now_ms())
 
     async def next_round(self, deadline_ms: float) -> StatusRound:
@@ -318,9 +318,9 @@
                         connection = None
                     if isinstance(error.__cause__, ConnectionRefusedError):
                         now_ms = self.clock.now_ms()
-                        self.suspicion.refused(endpoint.member, now_ms)
+                        self.suspicion.record_refusal(endpoint.member, now_ms)
                     else:
-                        self.suspicion.unresponsive(endpoint.member)
+                        self.suspicion.record_no_response(endpoint.member)
                     self._record_failure(endpoint.member, error)
                 else:
                     self._record_status(endpoint.member, status, sent_ms)
@@ -357,7 +357,7 @@
         polled = PolledStatus(status, sent_ms)
         self.board.record(polled)
         if is_healthy_status(status, self.group):
-            self.suspicion.answered(member, now_ms)
+            self.suspicion.record_healthy_status(member, now_ms)
         if member == self.group.primary:
             recent = self.board.collect_recent(now_ms - SAMPLE_WINDOW_MS)
             self.freshness.record(recent, self.group)
--- a/src/radishtrack/membership/nodes.py
+++ b/src/radishtrack/membership/nodes.py
@@ -51,13 +51,13 @@
     refused_until_ms: float = -math.inf
 
     def is_avoided(self, now_ms: float) -> bool:
-        """Tell whether the node gets no new work."""
+        """Return whether the node gets no new work."""
         return now_ms < max(self.leaving_until_ms, self.refused_until_ms)
 
 
 @attrs.define
 class Membership:
-    """The nodes that this node knows, itself included."""
+    """The known nodes, including this one."""
 
     own: Node
     listed: dict[str, Node]
@@ -124,5 +124,5 @@
 
 
 def make_membership(own: Node) -> Membership:
-    """Return the view of a node that knows only itself."""
+    """Return a view with only this node."""
     return Membership(own, {})
--- a/src/radishtrack/proxy/promoter_context.py
+++ b/src/radishtrack/proxy/promoter_context.py
@@ -20,12 +20,11 @@
     node : str
         Name of the node.
     get_rank : callable
-        Returns the node's position in the placement order; rank 0 starts a promotion
-        first.
+        Returns the node's rank in the placement order; rank 0 starts a promotion first.
     list_voters : callable
         Returns the names of all voters.
     list_leaving_members : callable
-        Returns the members that are to be taken out of service.
+        Returns the members that are being taken out of service.
     """
 
     node: str
