--- a/src/radishtrack/platform/frontend.py
+++ b/src/radishtrack/platform/frontend.py
@@ -115,7 +115,7 @@
             return False
         response = await session.handle(parse_query(line))
         connection.write(encode_line(format_client_response(response)))
-        return not session.must_close
+        return not session.needs_close
 
     async def _read_request(self, client: ClientConnection) -> str:
         session = client.session
@@ -123,7 +123,7 @@
         client.is_waiting = True
         try:
             if session.state is TransactionState.OPEN:
-                idle_ms = self.node.control.catalog.idle_transaction_ms
+                idle_ms = self.node.store_copy.catalog.idle_transaction_ms
                 try:
                     async with asyncio.timeout(idle_ms / 1000):
                         return await client.connection.read_line()
--- a/src/radishtrack/pooler/coordinator_failover.py
+++ b/src/radishtrack/pooler/coordinator_failover.py
@@ -12,10 +12,10 @@
 from radishtrack.events import Event, log_event
 from radishtrack.peer.messages import DutyChanged, HolderAsked, HolderHeard
 from radishtrack.pooler.catalog import NodeRecord
-from radishtrack.pooler.control import NO_HOLDER, Control
 from radishtrack.pooler.peers import Peers
 from radishtrack.pooler.ports import Duty, StoreUnavailable
 from radishtrack.pooler.rank import rank_node
+from radishtrack.pooler.store_copy import NO_HOLDER, StoreCopy
 from radishtrack.pooler.tasks import start_task
 
 RATES_DUTY: Final = "rates"
@@ -53,7 +53,7 @@
         This node.
     clock : Clock
         Time in milliseconds.
-    control : Control
+    store_copy : StoreCopy
         Copy of the store, with the duty's record.
     peers : Peers
         Links to the other nodes.
@@ -61,7 +61,7 @@
 
     name: str
     clock: Clock
-    control: Control
+    store_copy: StoreCopy
     peers: Peers
     last_response_ms: float = 0.0
     """When the coordinator last responded to this node."""
@@ -74,7 +74,7 @@
     @property
     def holder(self) -> str:
         """Name of the coordinator in the duty's record."""
-        return self.control.find_duty(RATES_DUTY).duty.holder
+        return self.store_copy.find_duty(RATES_DUTY).duty.holder
 
     def record_response(self, requested_ms: float, copy_age_ms: float) -> None:
         """Record a response of the coordinator to a request sent at `requested_ms`."""
@@ -95,13 +95,13 @@
 
     def find_node(self, name: str) -> NodeRecord | None:
         """Return a node's record."""
-        return next((node for node in self.control.nodes if node.name == name), None)
+        return next((node for node in self.store_copy.nodes if node.name == name), None)
 
     async def replace_lost(self) -> bool:
         """Become the coordinator if there is none, or if it does not respond."""
         # The duty may just have been released or claimed.
-        await self.control.refresh(self.control.find_duty(RATES_DUTY).duty)
-        observed = self.control.find_duty(RATES_DUTY)
+        await self.store_copy.refresh(self.store_copy.find_duty(RATES_DUTY).duty)
+        observed = self.store_copy.find_duty(RATES_DUTY)
         if observed.duty.holder == self.name:
             return False
         is_released = observed.duty.holder == NO_HOLDER
@@ -117,13 +117,13 @@
 
     async def replace_stale(self) -> bool:
         """Become the coordinator if the current one does not reach the store."""
-        observed = self.control.find_duty(RATES_DUTY).duty
+        observed = self.store_copy.find_duty(RATES_DUTY).duty
         if observed.holder in (self.name, NO_HOLDER):
             return False
         age_ms = self.clock.now_ms() - self.copy_confirmed_ms
         if age_ms < STALE_COPY_MS + self._rank() * RANK_DELAY_MS:
             return False
-        if self.control.age_ms() >= RECENT_COPY_MS:
+        if self.store_copy.age_ms() >= RECENT_COPY_MS:
             return False
         return await self._claim(observed)
 
@@ -164,15 +164,15 @@
     async def release(self) -> None:
         """Release the duty, so that another node can claim it without a wait."""
         try:
-            await self.control.release_duty(RATES_DUTY)
+            await self.store_copy.release_duty(RATES_DUTY)
         except StoreUnavailable as error:
             log_event(Event.PLATFORM_UNAVAILABLE, step=error.step, reason=error.reason)
             return
-        await self._announce(self.control.find_duty(RATES_DUTY).duty)
+        await self._announce(self.store_copy.find_duty(RATES_DUTY).duty)
 
     async def _claim(self, earlier: Duty) -> bool:
         try:
-            duty = await self.control.claim_duty(RATES_DUTY)
+            duty = await self.store_copy.claim_duty(RATES_DUTY)
         except StoreUnavailable as error:
             # The next confirmation of the copy shows whether the claim took effect.
             log_event(Event.PLATFORM_UNAVAILABLE, step=error.step, reason=error.reason)
@@ -201,4 +201,4 @@
         )
 
     def _rank(self) -> int:
-        return rank_node(self.name, RATES_DUTY, self.control.nodes)
+        return rank_node(self.name, RATES_DUTY, self.store_copy.nodes)
--- a/src/radishtrack/pooler/group_access.py
+++ b/src/radishtrack/pooler/group_access.py
@@ -78,7 +78,7 @@
     evidence: GroupEvidence
     has_all_announcements: Callable[[float], bool] = _assume_announced
     """Returns whether no promotion announced longer ago than an age can be unknown to
-    this node; see `Control.has_all_announcements`."""
+    this node; see `StoreCopy.has_all_announcements`."""
     settings: GroupSettings | None = None
     nodes: int = 1
     """Number of nodes that share the members' connections."""
--- a/src/radishtrack/pooler/node.py
+++ b/src/radishtrack/pooler/node.py
@@ -26,7 +26,6 @@
 )
 from radishtrack.peer.server import PeerHandlers, start_peer_server
 from radishtrack.pooler.catalog import NodeRecord
-from radishtrack.pooler.control import Control
 from radishtrack.pooler.group_access import GroupAccess, make_group_access
 from radishtrack.pooler.monitor import MemberMonitor
 from radishtrack.pooler.peers import Peers
@@ -51,6 +50,7 @@
     make_session,
 )
 from radishtrack.pooler.statements import Refusal
+from radishtrack.pooler.store_copy import StoreCopy
 from radishtrack.pooler.tasks import start_task
 
 UNLISTED_EXPIRY_MS: Final = 5_000.0
@@ -88,7 +88,7 @@
 
     options: NodeOptions
     clock: Clock
-    control: Control
+    store_copy: StoreCopy
     open_link: OpenLink
     peers: Peers
     promoter: Promoter
@@ -108,7 +108,7 @@
     async def run(self) -> None:
         """Run all tasks; never returns."""
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(self.control.run())
+            tasks.create_task(self.store_copy.run())
             tasks.create_task(self.log.run())
             tasks.create_task(self._serve_peers())
             tasks.create_task(self.promoter.run())
@@ -134,7 +134,7 @@
         """Tell whether the node can serve new connections."""
         return (
             self.stop_plan is None
-            and self.control.confirmed_ms is not None
+            and self.store_copy.confirmed_ms is not None
             and self._has_recent_keys()
             and any(group.evidence.term for group in self.groups.values())
         )
@@ -165,11 +165,11 @@
             self.groups[name] = access
         return access
 
-    def apply_control(self) -> None:
+    def apply_store_copy(self) -> None:
         """Apply the present copy of the store."""
         now_ms = self.clock.now_ms()
-        catalog = self.control.catalog
-        self.applied_node_count = len(self.control.nodes)
+        catalog = self.store_copy.catalog
+        self.applied_node_count = len(self.store_copy.nodes)
         nodes = max(1, self.applied_node_count)
         self.rates.configure()
         for name, settings in catalog.groups.items():
@@ -179,8 +179,8 @@
             for organisation in catalog.organisations.values()
         }
         for name, access in self.groups.items():
-            members = tuple(m for m in self.control.members if m.group == name)
-            access.evidence.announced_term = self.control.terms.get(name, 0)
+            members = tuple(m for m in self.store_copy.members if m.group == name)
+            access.evidence.announced_term = self.store_copy.terms.get(name, 0)
             access.set_members(members, now_ms)
             for pool in access.pools.values():
                 pool.gate.set_weights(weights)
@@ -199,16 +199,16 @@
             self.monitors[member] = start_task(monitor.run(), f"monitor of {member}")
 
     def _has_all_announcements(self, max_age_ms: float) -> bool:
-        return self.is_listening and self.control.has_all_announcements(max_age_ms)
+        return self.is_listening and self.store_copy.has_all_announcements(max_age_ms)
 
     def _has_recent_keys(self) -> bool:
         limit_ms = self.options.key_age_limit_ms
-        return limit_ms is None or self.control.age_ms() < limit_ms
+        return limit_ms is None or self.store_copy.age_ms() < limit_ms
 
     def _authorise(
         self, database: str, key_digest: bytes | None
     ) -> SessionAccess | Denied:
-        catalog = self.control.catalog
+        catalog = self.store_copy.catalog
         route = catalog.routes.get(database)
         if route is None:
             return Denied(Refusal.NO_DATABASE, "no such database")
@@ -228,22 +228,22 @@
         return SessionContext(
             clock=self.clock,
             authorise=self._authorise,
-            refresh=self.control.refresh,
+            refresh=self.store_copy.refresh,
             admit=self.rates.admit,
             find_group=self.find_group,
             observe=self.log.observe,
             observe_denied=self.log.observe_denied,
-            catalog_age_ms=self.control.age_ms,
+            catalog_age_ms=self.store_copy.age_ms,
         )
 
     async def _run_housekeeping(self) -> None:
         while True:
             await asyncio.sleep(HOUSEKEEPING_MS / 1000)
-            if len(self.control.nodes) != self.applied_node_count:
-                self.apply_control()
+            if len(self.store_copy.nodes) != self.applied_node_count:
+                self.apply_store_copy()
             if self.options.key_age_limit_ms is not None:
                 await self._remove_unresponsive_nodes()
-            if self.control.age_ms() > UNLISTED_EXPIRY_MS:
+            if self.store_copy.age_ms() > UNLISTED_EXPIRY_MS:
                 # The copy of the store may lack entries that have returned.
                 continue
             before_ms = self.clock.now_ms() - UNLISTED_EXPIRY_MS
@@ -259,7 +259,7 @@
         for name in self.rates.list_unresponsive_nodes():
             log_event(Event.NODE_REMOVED, node=name, by=self.options.node.name)
             try:
-                await self.control.store.remove_node(name)
+                await self.store_copy.store.remove_node(name)
             except StoreUnavailable as error:
                 log_event(
                     Event.PLATFORM_UNAVAILABLE, step=error.step, reason=error.reason
@@ -297,7 +297,7 @@
         is_reported = False
         while True:
             try:
-                return await self.control.store.read_secret()
+                return await self.store_copy.store.read_secret()
             except StoreUnavailable as error:
                 if not is_reported:
                     is_reported = True
@@ -354,26 +354,26 @@
     log: RequestLog,
 ) -> Node:
     """Return a node, not yet running."""
-    control = Control(store, clock, options.node, lambda: None)
-    peers = Peers(options.node.name, clock, lambda: control.nodes)
+    store_copy = StoreCopy(store, clock, options.node, lambda: None)
+    peers = Peers(options.node.name, clock, lambda: store_copy.nodes)
     groups: dict[str, GroupAccess] = {}
     promoter = Promoter(
         name=options.node.name,
         clock=clock,
-        control=control,
-        duty=PromotionDuty(options.node.name, clock, control),
+        store_copy=store_copy,
+        duty=PromotionDuty(options.node.name, clock, store_copy),
         peers=peers,
         promote=promote,
         list_groups=lambda: tuple(groups.values()),
         organisation=lambda: next(
-            iter(control.catalog.organisations), OPEN_ORGANISATION
+            iter(store_copy.catalog.organisations), OPEN_ORGANISATION
         ),
     )
-    rates = make_rate_exchange(options.node.name, clock, control, peers)
-    control.reads_for_fleet = rates.is_coordinator
+    rates = make_rate_exchange(options.node.name, clock, store_copy, peers)
+    store_copy.reads_for_fleet = rates.is_coordinator
     relay = ReportRelay(
         clock=clock,
-        control=control,
+        store_copy=store_copy,
         peers=peers,
         find_relay=rates.failover.find_coordinator,
         is_relay=rates.is_coordinator,
@@ -382,7 +382,7 @@
     node = Node(
         options,
         clock,
-        control,
+        store_copy,
         open_link,
         peers,
         promoter,
@@ -391,5 +391,5 @@
         relay,
         groups=groups,
     )
-    control.on_change = node.apply_control
+    store_copy.on_change = node.apply_store_copy
     return node
--- a/src/radishtrack/pooler/promoter.py
+++ b/src/radishtrack/pooler/promoter.py
@@ -13,7 +13,6 @@
 from radishtrack.group.status import Role
 from radishtrack.peer.messages import BeliefWithdrawn, Vote, VoteRequest, WithdrawBelief
 from radishtrack.pooler.catalog import MemberReport
-from radishtrack.pooler.control import DEPARTURE_MS, Control
 from radishtrack.pooler.coordinator_failover import RATES_DUTY
 from radishtrack.pooler.evidence import EVIDENCE_VALID_MS
 from radishtrack.pooler.group_access import GroupAccess
@@ -31,6 +30,7 @@
 from radishtrack.pooler.promotion_duty import PromotionDuty
 from radishtrack.pooler.rank import rank_node
 from radishtrack.pooler.statements import Fence, GetStatus, MemberStatement, Unfence
+from radishtrack.pooler.store_copy import DEPARTURE_MS, StoreCopy
 from radishtrack.pooler.tasks import start_task
 
 CHECK_INTERVAL_MS: Final = 100.0
@@ -80,7 +80,7 @@
 
     name: str
     clock: Clock
-    control: Control
+    store_copy: StoreCopy
     duty: PromotionDuty
     peers: Peers
     promote: PromoteMember
@@ -119,7 +119,7 @@
         start_ms = state.reason_since_ms + self._rank(access.name) * RANK_DELAY_MS
         if now_ms < max(start_ms, state.not_before_ms) or self.duty.is_held_by_other():
             return
-        if not self.control.is_available:
+        if not self.store_copy.is_available:
             return
         state.task = start_task(
             self._attempt(access, state, reason), f"promotion in {access.name}"
@@ -159,8 +159,8 @@
     def _rank(self, group: str) -> int:
         """Return this node's rank in the order in which nodes promote in the group."""
         # The node that polls for the fleet detects a failure first.
-        poller = self.control.find_duty(RATES_DUTY).duty.holder
-        return rank_node(self.name, group, self.control.nodes, poller)
+        poller = self.store_copy.find_duty(RATES_DUTY).duty.holder
+        return rank_node(self.name, group, self.store_copy.nodes, poller)
 
     async def _attempt(
         self, access: GroupAccess, state: PromotionState, reason: PromotionReason
@@ -200,13 +200,13 @@
         ):
             return "another node reaches the primary"
         # Members that have just joined may have acknowledged commits.
-        if not await self.control.confirm():
+        if not await self.store_copy.confirm():
             return "the store can't confirm the list of members"
         claim = await self.duty.claim()
         if claim is None:
             return "another node holds the duty"
         term = access.evidence.term + 1
-        await self.control.store.announce_term(access.name, term)
+        await self.store_copy.store.announce_term(access.name, term)
         log_event(
             Event.PROMOTION_STARTED,
             group=access.name,
@@ -287,7 +287,7 @@
         registers later can't obtain evidence of the old term.
         """
         access.evidence.invalidate(self.clock.now_ms())
-        is_complete = await self.control.confirm()
+        is_complete = await self.store_copy.confirm()
         responses = await self.peers.request_all(
             lambda request: WithdrawBelief(request, access.name),
             INVALIDATE_TIMEOUT_MS,
--- a/src/radishtrack/pooler/promotion_duty.py
+++ b/src/radishtrack/pooler/promotion_duty.py
@@ -7,8 +7,8 @@
 import attrs
 
 from radishtrack.clock import Clock
-from radishtrack.pooler.control import NO_HOLDER, Control
 from radishtrack.pooler.ports import Duty
+from radishtrack.pooler.store_copy import NO_HOLDER, StoreCopy
 
 PROMOTION_DUTY: Final = "promotion"
 """Name of the duty's record in the store."""
@@ -44,11 +44,11 @@
 
     name: str
     clock: Clock
-    control: Control
+    store_copy: StoreCopy
 
     def is_held_by_other(self) -> bool:
         """Return whether another node holds the duty and its lease may still run."""
-        observed = self.control.find_duty(PROMOTION_DUTY)
+        observed = self.store_copy.find_duty(PROMOTION_DUTY)
         age_ms = self.clock.now_ms() - observed.observed_ms
         return (
             observed.duty.holder not in (NO_HOLDER, self.name)
@@ -66,7 +66,7 @@
         if self.is_held_by_other():
             return None
         requested_ms = self.clock.now_ms()
-        duty = await self.control.claim_duty(PROMOTION_DUTY)
+        duty = await self.store_copy.claim_duty(PROMOTION_DUTY)
         return Claim(duty, requested_ms) if duty is not None else None
 
     async def renew(self, claim: Claim) -> bool:
@@ -77,13 +77,13 @@
         StoreUnavailable
             If it is unknown whether the claim has succeeded.
         """
-        observed = self.control.find_duty(PROMOTION_DUTY).duty
+        observed = self.store_copy.find_duty(PROMOTION_DUTY).duty
         if observed.revision != claim.duty.revision:
             return False
         requested_ms = self.clock.now_ms()
         if requested_ms - claim.requested_ms < RENEW_AFTER_MS:
             return True
-        duty = await self.control.claim_duty(PROMOTION_DUTY)
+        duty = await self.store_copy.claim_duty(PROMOTION_DUTY)
         if duty is None:
             return False
         claim.duty, claim.requested_ms = duty, requested_ms
--- a/src/radishtrack/pooler/rate_exchange.py
+++ b/src/radishtrack/pooler/rate_exchange.py
@@ -16,7 +16,6 @@
     SharesReturned,
     SharesWanted,
 )
-from radishtrack.pooler.control import Control
 from radishtrack.pooler.coordinator_failover import RATES_DUTY, CoordinatorFailover
 from radishtrack.pooler.peers import NotRunning, Peers
 from radishtrack.pooler.ports import Duty
@@ -26,6 +25,7 @@
     RateCoordinator,
     make_rate_coordinator,
 )
+from radishtrack.pooler.store_copy import StoreCopy
 
 EXCHANGE_INTERVAL_MS: Final = 300.0
 """Pause between exchanges without demand; three fit into the time of a delegation."""
@@ -46,7 +46,7 @@
 
     name: str
     clock: Clock
-    control: Control
+    store_copy: StoreCopy
     peers: Peers
     failover: CoordinatorFailover
     limiter: RateLimiter = attrs.field(factory=RateLimiter)
@@ -70,8 +70,8 @@
             # Until the other nodes have read this node's record, they divide the rates
             # without it.
             self.limiter.defer_own_shares(now_ms + JOIN_DELAY_MS)
-        nodes = max(1, len(self.control.nodes))
-        organisations = self.control.catalog.organisations
+        nodes = max(1, len(self.store_copy.nodes))
+        organisations = self.store_copy.catalog.organisations
         self.limiter.configure(organisations, nodes, now_ms)
         self.follow_duty()
         if self.coordinator is not None:
@@ -101,7 +101,7 @@
         now_ms = self.clock.now_ms()
         self.last_request_ms[node] = now_ms
         coordinator = self.coordinator
-        age_ms = self.control.age_ms()
+        age_ms = self.store_copy.age_ms()
         if coordinator is None:
             return SharesGranted(message.request, 0, NO_DELEGATION, (), age_ms)
         if self.is_stopping:
@@ -127,13 +127,13 @@
         if self.coordinator is not None:
             self.coordinator.remove_delegation(node)
             epoch = self.coordinator.epoch
-        age_ms = self.control.age_ms()
+        age_ms = self.store_copy.age_ms()
         return SharesGranted(message.request, epoch, NO_DELEGATION, (), age_ms)
 
     def record_duty(self, message: DutyChanged) -> DutyNoted:
         """Record that another node claimed the duty, or that the coordinator stops."""
         duty = Duty(message.holder, message.revision, message.claim)
-        self.control.record_duty(message.name, duty)
+        self.store_copy.record_duty(message.name, duty)
         self.follow_duty()
         self.exchange_requested.set()
         return DutyNoted(message.request)
@@ -146,12 +146,12 @@
         """Return the registered nodes without a recent request to this coordinator."""
         # A coordinator with an old copy of the store may have been replaced; nodes then
         # send their requests to another one.
-        if self.coordinator is None or self.control.age_ms() >= MAX_COPY_AGE_MS:
+        if self.coordinator is None or self.store_copy.age_ms() >= MAX_COPY_AGE_MS:
             return ()
         before_ms = self.clock.now_ms() - UNRESPONSIVE_NODE_MS
         return tuple(
             node.name
-            for node in self.control.registered
+            for node in self.store_copy.registered
             if node.name != self.name
             and max(self.coordinator.since_ms, self.last_request_ms.get(node.name, 0.0))
             < before_ms
@@ -165,7 +165,7 @@
                 async with asyncio.timeout(EXCHANGE_INTERVAL_MS / 1000):
                     await self.exchange_requested.wait()
             self.exchange_requested.clear()
-            if self.control.confirmed_ms is None:
+            if self.store_copy.confirmed_ms is None:
                 await asyncio.sleep(EXCHANGE_INTERVAL_MS / 1000)
                 continue
             has_response = await self._exchange()
@@ -251,7 +251,7 @@
     async def _request_shares(
         self, coordinator_name: str, requested: tuple[tuple[str, int], ...]
     ) -> SharesGranted | None:
-        nodes = max(1, len(self.control.nodes))
+        nodes = max(1, len(self.store_copy.nodes))
         if coordinator_name == self.name:
             own = SharesWanted(0, self.epoch, self.reply, nodes, requested)
             return self.grant(self.name, own)
@@ -269,7 +269,7 @@
 
     def follow_duty(self) -> None:
         """Become coordinator or stop being it, according to the duty's record."""
-        duty = self.control.find_duty(RATES_DUTY).duty
+        duty = self.store_copy.find_duty(RATES_DUTY).duty
         if duty.holder != self.name:
             self.coordinator = None
         elif self.coordinator is None or self.coordinator.epoch != duty.revision:
@@ -277,8 +277,8 @@
 
 
 def make_rate_exchange(
-    name: str, clock: Clock, control: Control, peers: Peers
+    name: str, clock: Clock, store_copy: StoreCopy, peers: Peers
 ) -> RateExchange:
     """Return a node's part in dividing the rates; no shares are delegated yet."""
-    failover = CoordinatorFailover(name, clock, control, peers)
-    return RateExchange(name, clock, control, peers, failover)
+    failover = CoordinatorFailover(name, clock, store_copy, peers)
+    return RateExchange(name, clock, store_copy, peers, failover)
--- a/src/radishtrack/pooler/report_relay.py
+++ b/src/radishtrack/pooler/report_relay.py
@@ -20,9 +20,9 @@
 from radishtrack.group.status import Role
 from radishtrack.peer.messages import PackedReport, Reports, ReportsWanted
 from radishtrack.pooler.catalog import MemberReport, NodeRecord
-from radishtrack.pooler.control import Control, CopyContent
 from radishtrack.pooler.group_access import GroupAccess
 from radishtrack.pooler.peers import Peers
+from radishtrack.pooler.store_copy import CopyContent, StoreCopy
 from radishtrack.session.position import Position
 
 RELAY_INTERVAL_MS: Final = 450.0
@@ -46,7 +46,7 @@
     """Sends and receives reports at one node; `run` never returns."""
 
     clock: Clock
-    control: Control
+    store_copy: StoreCopy
     peers: Peers
     find_relay: Callable[[], NodeRecord | None]
     is_relay: Callable[[], bool]
@@ -73,7 +73,7 @@
             receiver.sent_ms.clear()
         receiver.number += 1
         reports = tuple(self._pack(receiver))
-        content = self.control.content
+        content = self.store_copy.content
         return Reports(
             message.request,
             receiver.number,
@@ -81,7 +81,7 @@
             content.catalog,
             content.members,
             content.fleet,
-            self.control.age_ms(),
+            self.store_copy.age_ms(),
             reports,
         )
 
@@ -126,7 +126,7 @@
             content = CopyContent(
                 response.revision, response.catalog, response.members, response.fleet
             )
-            self.control.accept_confirmation(
+            self.store_copy.accept_confirmation(
                 content, requested_ms - response.confirmed_age_ms
             )
         for packed in response.reports:
--- a/src/radishtrack/pooler/session.py
+++ b/src/radishtrack/pooler/session.py
@@ -120,7 +120,7 @@
     transaction: Transaction | None = None
     access: SessionAccess | None = None
     """Access of the current operation; it changes only between transactions."""
-    must_close: bool = False
+    needs_close: bool = False
     """Whether the frontend has to close the connection after this response."""
 
     @property
@@ -139,7 +139,7 @@
             self.context.report_denied(self.database, denied)
             await self.close()
             # The client can reconnect, to a node that may serve it.
-            self.must_close = True
+            self.needs_close = True
             return self._refuse(denied.refusal, denied.detail)
         match statement:
             case InvalidStatement(reason):
--- a/src/radishtrack/pooler/control.py
+++ b/src/radishtrack/pooler/store_copy.py
@@ -97,7 +97,7 @@
 
 
 @attrs.define(eq=False)
-class Control:
+class StoreCopy:
     """The copy and the calls that confirm it; `run` keeps it up to date.
 
     Parameters
--- a/tests/pooler_world.py
+++ b/tests/pooler_simulation.py
@@ -88,7 +88,7 @@
             for pool in access.pools.values():
                 pool.drop_all()
         await self.node.peers.close()
-        store = self.node.control.store
+        store = self.node.store_copy.store
         assert isinstance(store, PlatformControlStore)
         await store.client.close()
 
--- a/tests/test_pooler_failover.py
+++ b/tests/test_pooler_failover.py
@@ -7,10 +7,10 @@
 import attrs
 
 from radishtrack.pooler.catalog import NodeRecord
-from radishtrack.pooler.control import DEPARTURE_MS
 from radishtrack.pooler.promotion_duty import PROMOTION_DUTY
+from radishtrack.pooler.store_copy import DEPARTURE_MS
 from radishtrack_standins.cluster import find_free_ports
-from tests.pooler_world import (
+from tests.pooler_simulation import (
     GROUP,
     Client,
     Simulation,
@@ -64,8 +64,8 @@
                 "oslo-a",
                 1,
             )
-            await simulation.nodes[0].node.control.store.register_node(record)
-            await simulation.nodes[0].node.control.confirm()
+            await simulation.nodes[0].node.store_copy.store.register_node(record)
+            await simulation.nodes[0].node.store_copy.confirm()
             simulation.store.faults.delay_s = 0.3
             await simulation.members["i-1"].stop()
             await write_until_served(simulation, client)
@@ -77,18 +77,18 @@
     """Renewing it would take the duty from a node that has started a promotion."""
     async with open_simulation() as simulation:
         duty = simulation.nodes[0].node.promoter.duty
-        control = simulation.nodes[0].node.control
+        store_copy = simulation.nodes[0].node.store_copy
         claim = await duty.claim()
         assert claim is not None and await duty.renew(claim)
         first = claim.duty.revision
         claim.requested_ms -= 1_500.0
         assert await duty.renew(claim)
         assert claim.duty.revision > first
-        await control.store.claim_duty(PROMOTION_DUTY, claim.duty, "edge-2", "other")
-        await control.confirm()
+        await store_copy.store.claim_duty(PROMOTION_DUTY, claim.duty, "edge-2", "other")
+        await store_copy.confirm()
         claim.requested_ms -= 1_500.0
         assert not await duty.renew(claim)
-        assert control.find_duty(PROMOTION_DUTY).duty.holder == "edge-2"
+        assert store_copy.find_duty(PROMOTION_DUTY).duty.holder == "edge-2"
 
 
 async def _read_without_responding(
@@ -241,8 +241,8 @@
         config = make_config(version=2)
         config["limits"] = {"txIdleMs": 200}
         simulation.store.put("config", "main", config)
-        control = simulation.nodes[0].node.control
-        await wait_until(lambda: control.catalog.version == 2)
+        store_copy = simulation.nodes[0].node.store_copy
+        await wait_until(lambda: store_copy.catalog.version == 2)
         client = await simulation.connect(simulation.nodes[0], "orders")
         await client.execute("BEGIN")
         await client.execute("WRITE 1 x")
@@ -275,7 +275,7 @@
     async with open_simulation(nodes=0) as simulation:
         simulation.store.faults.status = 429
         running = await simulation.start_node("edge-1")
-        await wait_until(lambda: not running.node.control.is_available)
+        await wait_until(lambda: not running.node.store_copy.is_available)
         assert not running.task.done()
         simulation.store.faults.status = 0
         await wait_until(running.node.is_ready)
--- a/tests/test_pooler_path.py
+++ b/tests/test_pooler_path.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from radishtrack.platform.lines import encode_line
-from tests.pooler_world import (
+from tests.pooler_simulation import (
     GROUP,
     KEY,
     OTHER_KEY,
@@ -137,8 +137,8 @@
         assert isinstance(tenants, list)
         tenants[0]["apiKeys"] = ["another"]
         simulation.store.put("config", "main", config)
-        control = simulation.nodes[0].node.control
-        await wait_until(lambda: control.catalog.version == 2)
+        store_copy = simulation.nodes[0].node.store_copy
+        await wait_until(lambda: store_copy.catalog.version == 2)
         assert (await client.execute("READ 1"))[0].startswith("ERROR NOAUTH")
         assert await is_closed(client.connection)
 
@@ -162,9 +162,9 @@
         simulation.store.put("servers", "i-bad", {"service": 7, "state": "ready"})
         simulation.store.put("servers", "i-text", "not an object")
         simulation.store.put("radishtrack", "node.bad", {"name": None})
-        control = simulation.nodes[0].node.control
-        await wait_until(lambda: control.revision == simulation.store.revision)
-        assert {member.name for member in control.members} == set(simulation.members)
+        store_copy = simulation.nodes[0].node.store_copy
+        await wait_until(lambda: store_copy.revision == simulation.store.revision)
+        assert {member.name for member in store_copy.members} == set(simulation.members)
         client: Client = await simulation.connect(simulation.nodes[0], "orders")
         assert (await client.execute("READ 1"))[0].startswith("DATAROW")
         assert simulation.nodes[0].node.find_group(GROUP).evidence.term == 1
--- a/tests/test_pooler_rates.py
+++ b/tests/test_pooler_rates.py
@@ -12,7 +12,12 @@
 from radishtrack.pooler.node import Node
 from radishtrack.pooler.peers import Peers
 from radishtrack.pooler.ports import StoreUnavailable
-from tests.pooler_world import WAIT_LIMIT_S, Simulation, open_simulation, wait_until
+from tests.pooler_simulation import (
+    WAIT_LIMIT_S,
+    Simulation,
+    open_simulation,
+    wait_until,
+)
 
 SETTLE_S = 4.0
 PAUSE_LIMIT_MS = 1_700.0
@@ -134,11 +139,11 @@
         first = simulation.nodes[find_coordinator(simulation)].node
         others = [n.node for n in simulation.nodes if n.node is not first]
         await wait_until(lambda: all(other.rates.reply > 0 for other in others))
-        store, first.control.store = first.control.store, UnreachableStore()
+        store, first.store_copy.store = first.store_copy.store, UnreachableStore()
         pause_ms = await measure_longest_pause(
             others[0], lambda: not first.rates.coordinator
         )
-        first.control.store = store
+        first.store_copy.store = store
         assert any(other.rates.is_coordinator() for other in others)
         assert pause_ms <= PAUSE_LIMIT_MS
 
@@ -219,10 +224,10 @@
         await wait_until(
             lambda: ("radishtrack", f"node.{name}") not in simulation.store.objects
         )
-        control = simulation.nodes[0].node.control
-        await wait_until(lambda: len(control.registered) == 2)
+        store_copy = simulation.nodes[0].node.store_copy
+        await wait_until(lambda: len(store_copy.registered) == 2)
         # The lost node may still use its share, so the others wait.
-        assert len(control.nodes) == 3
+        assert len(store_copy.nodes) == 3
         await wait_until(lambda: simulation.nodes[0].node.applied_node_count == 2)
 
 
@@ -233,12 +238,12 @@
     """
     async with open_simulation(nodes=2) as simulation:
         coordinator = simulation.nodes[find_coordinator(simulation)].node
-        rates, control = coordinator.rates, coordinator.control
+        rates, store_copy = coordinator.rates, coordinator.store_copy
         assert rates.coordinator is not None
         rates.coordinator.since_ms = coordinator.clock.now_ms() - 10_000.0
         rates.last_request_ms.clear()
         assert len(rates.list_unresponsive_nodes()) == 1
-        control.confirmed_ms = coordinator.clock.now_ms() - 3_000.0
+        store_copy.confirmed_ms = coordinator.clock.now_ms() - 3_000.0
         assert rates.list_unresponsive_nodes() == ()
 
 
@@ -249,4 +254,4 @@
         await wait_until(
             lambda: ("radishtrack", "node.edge-2") in simulation.store.objects
         )
-        assert len(simulation.nodes[0].node.control.nodes) == 2
+        assert len(simulation.nodes[0].node.store_copy.nodes) == 2
--- a/tests/test_pooler_request_log.py
+++ b/tests/test_pooler_request_log.py
@@ -11,7 +11,7 @@
 from radishtrack.events import use_json_lines
 from radishtrack.log_output import LineFormatter, NonBlockingHandler
 from radishtrack.pooler.request_log import REFUSED_LINES_PER_S
-from tests.pooler_world import open_simulation, wait_until
+from tests.pooler_simulation import open_simulation, wait_until
 
 
 async def test_refusals_are_logged_up_to_a_limit_and_counted_beyond(
--- a/tests/test_pooler_stop.py
+++ b/tests/test_pooler_stop.py
@@ -6,7 +6,7 @@
 
 from radishtrack.platform.main import stop_node
 from radishtrack.pooler.readiness import make_stop_plan
-from tests.pooler_world import is_closed, open_simulation
+from tests.pooler_simulation import is_closed, open_simulation
 
 
 def test_stop_ends_within_the_grace_period() -> None:
--- a/tests/test_pooler_control.py
+++ b/tests/test_pooler_store_copy.py
@@ -9,8 +9,8 @@
 
 from radishtrack.clock import ManualTime, make_manual_clock
 from radishtrack.pooler.catalog import EMPTY_CATALOG, Catalog, Member, NodeRecord
-from radishtrack.pooler.control import DEPARTURE_MS, Control
 from radishtrack.pooler.ports import Duty, FleetListing, StoreUnavailable
+from radishtrack.pooler.store_copy import DEPARTURE_MS, StoreCopy
 
 NODE = NodeRecord("edge-1", "10.0.0.1", 7560, "a", 1)
 OTHER = NodeRecord("edge-2", "10.0.0.2", 7560, "a", 1)
@@ -74,181 +74,187 @@
 
 
 @pytest.fixture
-def control(store: FakeStore, time: ManualTime) -> Control:
-    return Control(store, make_manual_clock(time), NODE, lambda: None)
+def store_copy(store: FakeStore, time: ManualTime) -> StoreCopy:
+    return StoreCopy(store, make_manual_clock(time), NODE, lambda: None)
 
 
-async def test_a_quiet_store_costs_one_call(control: Control, store: FakeStore) -> None:
+async def test_a_quiet_store_costs_one_call(
+    store_copy: StoreCopy, store: FakeStore
+) -> None:
     """Guards against reading unchanged content again; the fleet shares the calls."""
     for _ in range(5):
-        assert await control.confirm()
+        assert await store_copy.confirm()
     assert store.catalog_reads == 1
 
 
 async def test_the_age_counts_from_the_start_of_the_call(
-    control: Control, store: FakeStore, time: ManualTime
+    store_copy: StoreCopy, store: FakeStore, time: ManualTime
 ) -> None:
     """Guards against a late response that makes a revoked key appear current."""
-    await control.confirm()
+    await store_copy.confirm()
     store.list_gate = asyncio.Event()
-    call = asyncio.create_task(control.confirm())
+    call = asyncio.create_task(store_copy.confirm())
     await asyncio.sleep(0)
     time.advance(700.0)
     store.list_gate.set()
     await call
-    assert control.age_ms() == 700.0
+    assert store_copy.age_ms() == 700.0
 
 
 async def test_an_older_version_is_never_applied(
-    control: Control, store: FakeStore
+    store_copy: StoreCopy, store: FakeStore
 ) -> None:
     """Guards against the replacement of a configuration in force by an older one."""
     store.catalog = attrs.evolve(EMPTY_CATALOG, version=7)
-    await control.confirm()
+    await store_copy.confirm()
     store.catalog, store.revision = attrs.evolve(EMPTY_CATALOG, version=6), 2
-    await control.confirm()
-    assert control.catalog.version == 7
+    await store_copy.confirm()
+    assert store_copy.catalog.version == 7
 
 
 async def test_another_node_confirms_equal_content_only(
-    control: Control, time: ManualTime
+    store_copy: StoreCopy, time: ManualTime
 ) -> None:
     """Guards against confirmation of a copy that lacks a change."""
-    await control.confirm()
+    await store_copy.confirm()
     time.advance(900.0)
-    control.accept_confirmation(
-        attrs.evolve(control.content, revision=2, members=7), 1_800.0
+    store_copy.accept_confirmation(
+        attrs.evolve(store_copy.content, revision=2, members=7), 1_800.0
     )
-    assert control.age_ms() == 900.0 and control.is_outdated.is_set()
-    control.accept_confirmation(control.content, 1_800.0)
-    assert control.age_ms() == 100.0
+    assert store_copy.age_ms() == 900.0 and store_copy.is_outdated.is_set()
+    store_copy.accept_confirmation(store_copy.content, 1_800.0)
+    assert store_copy.age_ms() == 100.0
 
 
 async def test_a_change_of_other_objects_costs_no_call(
-    control: Control, store: FakeStore, time: ManualTime
+    store_copy: StoreCopy, store: FakeStore, time: ManualTime
 ) -> None:
     """Guards against reading everything again at every node after any write."""
-    await control.confirm()
+    await store_copy.confirm()
     store.list_calls = store.catalog_reads = 0
     time.advance(900.0)
-    control.accept_confirmation(attrs.evolve(control.content, revision=9), 1_800.0)
-    assert control.revision == 9 and control.age_ms() == 100.0
-    assert not control.is_outdated.is_set()
+    store_copy.accept_confirmation(
+        attrs.evolve(store_copy.content, revision=9), 1_800.0
+    )
+    assert store_copy.revision == 9 and store_copy.age_ms() == 100.0
+    assert not store_copy.is_outdated.is_set()
     # A confirmation of an earlier revision has no effect.
-    control.accept_confirmation(attrs.evolve(control.content, revision=8), 1_850.0)
-    assert control.age_ms() == 100.0
+    store_copy.accept_confirmation(
+        attrs.evolve(store_copy.content, revision=8), 1_850.0
+    )
+    assert store_copy.age_ms() == 100.0
 
 
 async def test_only_what_has_changed_is_read(
-    store: FakeStore, control: Control, time: ManualTime
+    store: FakeStore, store_copy: StoreCopy, time: ManualTime
 ) -> None:
     """Guards against reading the whole configuration again for a new node or member."""
-    reader = Control(store, make_manual_clock(time), OTHER, lambda: None)
+    reader = StoreCopy(store, make_manual_clock(time), OTHER, lambda: None)
     store.nodes = (NODE, OTHER)
-    await control.confirm()
+    await store_copy.confirm()
     await reader.confirm()
     store.list_calls = store.catalog_reads = 0
     store.nodes, store.revision = (NODE,), 5
     store.nodes = (NODE, OTHER, attrs.evolve(OTHER, name="edge-3"))
     await reader.confirm()
     assert store.catalog_reads == 1
-    control.accept_confirmation(reader.content, 1_000.0)
-    assert control.peer_confirmation is not None and await control.confirm(
-        control.peer_confirmation
+    store_copy.accept_confirmation(reader.content, 1_000.0)
+    assert store_copy.peer_confirmation is not None and await store_copy.confirm(
+        store_copy.peer_confirmation
     )
-    assert control.content == reader.content and len(control.nodes) == 3
+    assert store_copy.content == reader.content and len(store_copy.nodes) == 3
     assert (store.list_calls, store.catalog_reads) == (2, 1)
     store.catalog, store.revision = attrs.evolve(EMPTY_CATALOG, version=7), 6
     await reader.confirm()
     store.list_calls = 0
-    control.accept_confirmation(reader.content, 1_000.0)
-    assert await control.confirm(control.peer_confirmation)
-    assert control.content == reader.content and control.catalog.version == 7
+    store_copy.accept_confirmation(reader.content, 1_000.0)
+    assert await store_copy.confirm(store_copy.peer_confirmation)
+    assert store_copy.content == reader.content and store_copy.catalog.version == 7
     assert store.list_calls == 0
 
 
 async def test_a_later_revision_is_read_completely(
-    store: FakeStore, control: Control, time: ManualTime
+    store: FakeStore, store_copy: StoreCopy, time: ManualTime
 ) -> None:
     """A confirmation of another node does not cover what was written afterwards."""
-    reader = Control(store, make_manual_clock(time), OTHER, lambda: None)
+    reader = StoreCopy(store, make_manual_clock(time), OTHER, lambda: None)
     store.nodes = (NODE, OTHER)
-    await control.confirm()
+    await store_copy.confirm()
     store.nodes, store.revision = (*store.nodes, attrs.evolve(OTHER, name="edge-3")), 5
     await reader.confirm()
-    control.accept_confirmation(reader.content, 1_000.0)
+    store_copy.accept_confirmation(reader.content, 1_000.0)
     store.catalog, store.revision = attrs.evolve(EMPTY_CATALOG, version=7), 6
-    assert await control.confirm(control.peer_confirmation)
-    assert control.revision == 6 and control.catalog.version == 7
+    assert await store_copy.confirm(store_copy.peer_confirmation)
+    assert store_copy.revision == 6 and store_copy.catalog.version == 7
 
 
 async def test_a_suspended_node_must_call_the_store_first(
-    control: Control, store: FakeStore, time: ManualTime
+    store_copy: StoreCopy, store: FakeStore, time: ManualTime
 ) -> None:
     """A promotion may have been announced and completed during the suspension."""
-    await control.confirm()
-    assert control.has_all_announcements(2_000.0)
+    await store_copy.confirm()
+    assert store_copy.has_all_announcements(2_000.0)
     time.advance(10_000.0)
-    assert not control.has_all_announcements(2_000.0)
+    assert not store_copy.has_all_announcements(2_000.0)
     store.is_down = True
-    assert not await control.confirm()
-    assert control.has_all_announcements(2_000.0)
+    assert not await store_copy.confirm()
+    assert store_copy.has_all_announcements(2_000.0)
 
 
 async def test_a_removed_node_counts_until_it_must_have_stopped(
-    control: Control, store: FakeStore, time: ManualTime
+    store_copy: StoreCopy, store: FakeStore, time: ManualTime
 ) -> None:
     """It may use its share of the rates until it learns of its removal."""
     store.nodes = (NODE, OTHER)
-    await control.confirm()
+    await store_copy.confirm()
     store.nodes, store.revision = (NODE,), 2
-    await control.confirm()
-    assert set(control.nodes) == {NODE, OTHER}
+    await store_copy.confirm()
+    assert set(store_copy.nodes) == {NODE, OTHER}
     time.advance(DEPARTURE_MS + 1)
-    assert control.nodes == (NODE,)
+    assert store_copy.nodes == (NODE,)
     store.nodes, store.revision = (NODE, OTHER), 3
-    await control.confirm()
-    assert control.nodes == (NODE, OTHER)
+    await store_copy.confirm()
+    assert store_copy.nodes == (NODE, OTHER)
 
 
 async def test_an_outage_before_the_first_response_is_handled(
-    control: Control, store: FakeStore
+    store_copy: StoreCopy, store: FakeStore
 ) -> None:
     """Guards against the crash that the age of a missing copy caused in a benchmark."""
     store.is_down = True
-    assert not await control.confirm()
-    assert control.age_ms() == float("inf")
+    assert not await store_copy.confirm()
+    assert store_copy.age_ms() == float("inf")
 
 
 async def test_an_unknown_name_costs_one_call_for_each_configuration(
-    control: Control, store: FakeStore, time: ManualTime
+    store_copy: StoreCopy, store: FakeStore, time: ManualTime
 ) -> None:
     """Clients with a revoked key retry continually, ten times a second at each node."""
-    await control.confirm()
+    await store_copy.confirm()
     store.list_calls = 0
     for _ in range(20):
         time.advance(500.0)
-        await control.refresh("revoked key")
+        await store_copy.refresh("revoked key")
     assert store.list_calls == 1
     store.revision = 2
-    await control.confirm()
+    await store_copy.confirm()
     time.advance(1_500.0)
-    await control.refresh("revoked key")
+    await store_copy.refresh("revoked key")
     assert store.list_calls == 2
     store.revision, store.catalog = 3, attrs.evolve(EMPTY_CATALOG, version=7)
-    await control.confirm()
+    await store_copy.confirm()
     time.advance(1_500.0)
-    await control.refresh("revoked key")
+    await store_copy.refresh("revoked key")
     assert store.list_calls == 4
 
 
 async def test_many_unknown_names_share_the_calls(
-    control: Control, store: FakeStore, time: ManualTime
+    store_copy: StoreCopy, store: FakeStore, time: ManualTime
 ) -> None:
     """Many keys can be revoked at once, and each of them is tried at every node."""
-    await control.confirm()
+    await store_copy.confirm()
     store.list_calls = 0
     for number in range(100):
         time.advance(10.0)
-        await control.refresh(f"revoked key {number}")
+        await store_copy.refresh(f"revoked key {number}")
     assert store.list_calls <= 1
--- a/tests/test_pooler_wire.py
+++ b/tests/test_pooler_wire.py
@@ -37,7 +37,7 @@
     TransactionState,
 )
 from radishtrack.session.position import Position
-from tests.pooler_world import KEY, make_config
+from tests.pooler_simulation import KEY, make_config
 
 
 @pytest.mark.parametrize(
