--- a/src/radishtrack/pooler/catalog.py
+++ b/src/radishtrack/pooler/catalog.py
@@ -35,7 +35,8 @@
     read_class : ReadClass
         How current reads must be.
     max_age_ms : float
-        For `SESSION` and `AGED`: age in milliseconds from which commits must show.
+        For `SESSION` and `AGED`: age in milliseconds from which commits must be
+        visible.
     statement_timeout_ms : float
         Time limit of one statement.
     objective_ms : float
@@ -65,7 +66,7 @@
     name : str
         Name that is sent to members.
     rate_per_s : float
-        Operations a second, over all nodes.
+        Operations per second, over all nodes.
     burst : float
         Operations that may arrive at once beyond the rate.
     """
--- a/src/radishtrack/pooler/coordinator_failover.py
+++ b/src/radishtrack/pooler/coordinator_failover.py
@@ -72,7 +72,7 @@
     announcing: asyncio.Task[None] | None = None
 
     @property
-    def holder(self) -> str:
+    def coordinator_name(self) -> str:
         """Name of the coordinator in the duty's record."""
         return self.store_copy.find_duty(RATES_DUTY).duty.holder
 
@@ -83,15 +83,15 @@
 
     def response_age_ms(self) -> float:
         """Return the time since the coordinator last responded to this node."""
-        if self.holder == self.name:
+        if self.coordinator_name == self.name:
             return 0.0
         return self.clock.now_ms() - self.last_response_ms
 
     def find_coordinator(self) -> NodeRecord | None:
         """Return the coordinator's record if it is another node and responds."""
-        if self.holder == self.name or self.response_age_ms() > LOST_AFTER_MS:
+        if self.coordinator_name == self.name or self.response_age_ms() > LOST_AFTER_MS:
             return None
-        return self.find_node(self.holder)
+        return self.find_node(self.coordinator_name)
 
     def find_node(self, name: str) -> NodeRecord | None:
         """Return a node's record."""
@@ -141,7 +141,9 @@
             True also if there is no other node, or if no probed node has responded for
             `ISOLATED_WAIT_MS`.
         """
-        others = [node for node in self.peers.others() if node.name != self.holder]
+        others = [
+            node for node in self.peers.others() if node.name != self.coordinator_name
+        ]
         # Each node probes different nodes, so that no three decide for all.
         others.sort(key=lambda node: zlib.crc32(f"{self.name}/{node.name}".encode()))
         probed_nodes = others[:INDIRECT_PROBES]
--- a/src/radishtrack/pooler/execution.py
+++ b/src/radishtrack/pooler/execution.py
@@ -40,8 +40,8 @@
 
 
 @attrs.frozen
-class Request:
-    """The session's settings for one statement.
+class StatementContext:
+    """What the execution of one statement needs from its session.
 
     Parameters
     ----------
@@ -88,11 +88,11 @@
     return Result(MemberResponse(refusal=refusal, detail=detail), member)
 
 
-async def prepare_link(pooled: PooledLink, request: Request) -> None:
+async def prepare_link(pooled: PooledLink, context: StatementContext) -> None:
     """Apply the session's values and prepare the statement on a connection."""
-    await pooled.apply_values(request.values)
-    if request.prepare is not None:
-        await pooled.ensure_prepared(request.prepare)
+    await pooled.apply_values(context.values)
+    if context.prepare is not None:
+        await pooled.ensure_prepared(context.prepare)
 
 
 async def run_on_link(
@@ -131,7 +131,7 @@
 
 async def run_read(
     access: GroupAccess,
-    request: Request,
+    context: StatementContext,
     statement: Executable,
     session_position: Position | None,
 ) -> Result:
@@ -139,12 +139,12 @@
 
     A read has no effects, so it may be repeated even if its outcome is unknown.
     """
-    plan = request.plan
+    plan = context.plan
     attempted: set[str] = set()
     last_result = make_refusal(Refusal.BUSY, "no member can serve the read")
 
     def find_plan() -> ReadPlan | None:
-        return access.plan_read(request.route, session_position, request.organisation)
+        return access.plan_read(context.route, session_position, context.organisation)
 
     while True:
         read_plan = await access.await_plan(find_plan, plan.evidence_until_ms)
@@ -160,7 +160,7 @@
         plan.attempts += 1
         attempted.add(untried[0])
         last_result = await _read_once(
-            access, request, statement, untried[0], read_plan.min_position
+            access, context, statement, untried[0], read_plan.min_position
         )
         refusal = last_result.response.refusal
         if refusal is None or refusal in (Refusal.TIMED_OUT, Refusal.MALFORMED):
@@ -172,7 +172,7 @@
 
 
 async def run_write(
-    access: GroupAccess, request: Request, statement: Executable
+    access: GroupAccess, context: StatementContext, statement: Executable
 ) -> Result:
     """Run a single write on the primary; retries only if it certainly did not run.
 
@@ -181,10 +181,10 @@
     Result
         `OUTCOME_UNKNOWN` if the write was sent and its response was lost.
     """
-    plan = request.plan
+    plan = context.plan
     while True:
         plan.attempts += 1
-        result = await _write_once(access, request, statement)
+        result = await _write_once(access, context, statement)
         if result.response.refusal not in NOT_RUN:
             return result
         if not plan.may_retry(access.clock.now_ms()) or not _has_primary(access):
@@ -194,21 +194,21 @@
 
 async def _read_once(
     access: GroupAccess,
-    request: Request,
+    context: StatementContext,
     statement: Executable,
     member: str,
     min_position: Position | None,
 ) -> Result:
     pool = access.pools[member]
-    plan = request.plan
+    plan = context.plan
     attempt_timeout_ms = max(
-        MIN_READ_ATTEMPT_MS, READ_ATTEMPT_OBJECTIVES * request.route.objective_ms
+        MIN_READ_ATTEMPT_MS, READ_ATTEMPT_OBJECTIVES * context.route.objective_ms
     )
     try:
         async with pool.lease(
-            request.organisation, request.values, plan.wait_until_ms
+            context.organisation, context.values, plan.wait_until_ms
         ) as pooled:
-            await prepare_link(pooled, request)
+            await prepare_link(pooled, context)
             remaining_ms = plan.remaining_ms(access.clock.now_ms())
             response = await run_on_link(
                 access,
@@ -231,9 +231,9 @@
 
 
 async def _write_once(
-    access: GroupAccess, request: Request, statement: Executable
+    access: GroupAccess, context: StatementContext, statement: Executable
 ) -> Result:
-    plan = request.plan
+    plan = context.plan
     if not _has_primary(access):
         await access.wait_for(lambda: _has_primary(access), plan.evidence_until_ms)
     pool = access.usable_primary()
@@ -243,9 +243,9 @@
     is_sent = False
     try:
         async with pool.lease(
-            request.organisation, request.values, plan.wait_until_ms
+            context.organisation, context.values, plan.wait_until_ms
         ) as pooled:
-            await prepare_link(pooled, request)
+            await prepare_link(pooled, context)
             is_sent = True
             response = await run_on_link(
                 access,
@@ -302,6 +302,6 @@
     return Refusal.BUSY
 
 
-def is_open(response: MemberResponse) -> bool:
-    """Tell whether the transaction can continue after a response."""
+def is_transaction_open(response: MemberResponse) -> bool:
+    """Return whether the transaction can continue after a response."""
     return response.refusal is None and response.state is TransactionState.OPEN
--- a/src/radishtrack/pooler/group_access.py
+++ b/src/radishtrack/pooler/group_access.py
@@ -84,7 +84,7 @@
     """Number of nodes that share the members' connections."""
     pools: dict[str, MemberPool] = attrs.field(factory=dict)
     unlisted_ms: dict[str, float] = attrs.field(factory=dict)
-    """When members that the store no longer lists became unlisted, by name."""
+    """When a member disappeared from the store's list, by name."""
     leaving_ms: dict[str, float] = attrs.field(factory=dict)
     """When this node learned that members are leaving, by name."""
     changed: asyncio.Event = attrs.field(factory=asyncio.Event)
@@ -233,7 +233,7 @@
         )
 
     async def wait_for(self, is_met: Callable[[], bool], until_ms: float) -> bool:
-        """Request polls until a condition holds or time is up; return if it holds."""
+        """Request polls until a condition holds; return False if time is up before."""
         while not is_met():
             remaining_ms = until_ms - self.clock.now_ms()
             if remaining_ms <= 0:
--- a/src/radishtrack/pooler/member_pool.py
+++ b/src/radishtrack/pooler/member_pool.py
@@ -26,7 +26,7 @@
 """Connecting takes about 12 ms and two round trips; a member that does not respond in
 this time is treated as unreachable."""
 PREPARATION_TIMEOUT_MS: Final = 400.0
-"""Setting values and preparing need no slot of the member."""
+"""Time limit for setting a value or preparing, which need no slot of the member."""
 SERVICE_SMOOTHING: Final = 0.1
 """Weight of the newest statement in the moving average of the service time."""
 
@@ -186,7 +186,7 @@
         return len(self.busy) + self.gate.queue.waiting
 
     def has_idle(self, organisation: str) -> bool:
-        """Tell whether an organisation has an idle connection."""
+        """Return whether an organisation has an idle connection."""
         return any(
             pooled.organisation == organisation and not pooled.link.is_closed
             for pooled in self.idle
--- a/src/radishtrack/pooler/member_ranking.py
+++ b/src/radishtrack/pooler/member_ranking.py
@@ -10,8 +10,8 @@
 ZONE_COST: Final = 1.0
 """Cost of a member in another zone, because traffic between zones is expensive. It is
 above the cost of opening a connection, and equals that of one statement in flight for
-each slot, so that a busy member of the own zone does not build up a queue while others
-are idle."""
+each slot, so that a busy member in the node's zone does not build up a queue while
+others are idle."""
 CONNECT_COST: Final = 0.6
 """Cost of opening a connection, which occupies a slot of the member for about as long
 as a statement."""
--- a/src/radishtrack/pooler/monitor.py
+++ b/src/radishtrack/pooler/monitor.py
@@ -33,12 +33,12 @@
 node. Relayed reports are up to 1.4 s old, and the node's own poll must complete before
 the evidence expires."""
 MIN_POLL_SPACING_MS: Final = 60.0
-"""Smallest interval between two polls that waiting statements cause."""
+"""Smallest interval between two polls that waiting statements request."""
 UNREACHABLE_POLL_INTERVAL_MS: Final = 250.0
 """Pause between polls of a member that does not respond."""
 STATUS_TIMEOUT_MS: Final = 500.0
-"""Time limit of a poll, which waits in the member's queue; a slow member takes this
-long for its queue."""
+"""Time limit of a poll, which waits in the member's queue; at a slow member, that takes
+this long."""
 UNREACHABLE_AFTER_MS: Final = 900.0
 """Time without a response after which a member that also fails two polls in a row
 counts as unreachable."""
@@ -49,7 +49,7 @@
 
 @attrs.define(eq=False)
 class MemberMonitor:
-    """Polls one member; `run` never returns.
+    """Polls one member until it is removed from its group.
 
     Parameters
     ----------
@@ -89,18 +89,18 @@
     def _pause_ms(self, pool: MemberPool) -> float:
         if pool.failures:
             # The second failure decides whether the member counts as unreachable.
-            return 0.0 if pool.is_reachable else self._since_poll_ms(pool)
+            return 0.0 if pool.is_reachable else self._retry_pause_ms(pool)
         observation = self.access.evidence.observations.get(self.name)
         if observation is None:
-            return self._since_poll_ms(pool)
+            return self._retry_pause_ms(pool)
         interval_ms = (
             POLL_INTERVAL_MS if self.polls_for_fleet() else RELAYED_INTERVAL_MS
         )
         pause_ms = observation.requested_ms + interval_ms - self.clock.now_ms()
         # A member that responds without a report is too busy to be polled sooner.
-        return max(pause_ms, self._since_poll_ms(pool))
+        return max(pause_ms, self._retry_pause_ms(pool))
 
-    def _since_poll_ms(self, pool: MemberPool) -> float:
+    def _retry_pause_ms(self, pool: MemberPool) -> float:
         return pool.polled_ms + UNREACHABLE_POLL_INTERVAL_MS - self.clock.now_ms()
 
     async def poll(self, pool: MemberPool) -> None:
--- a/src/radishtrack/pooler/node.py
+++ b/src/radishtrack/pooler/node.py
@@ -131,7 +131,7 @@
         await session.close()
 
     def is_ready(self) -> bool:
-        """Tell whether the node can serve new connections."""
+        """Return whether the node can serve new connections."""
         return (
             self.stop_plan is None
             and self.store_copy.confirmed_ms is not None
@@ -166,7 +166,7 @@
         return access
 
     def apply_store_copy(self) -> None:
-        """Apply the present copy of the store."""
+        """Apply the current copy of the store."""
         now_ms = self.clock.now_ms()
         catalog = self.store_copy.catalog
         self.applied_node_count = len(self.store_copy.nodes)
@@ -324,7 +324,7 @@
             case DutyChanged():
                 return self.rates.record_duty(message)
             case ReportsWanted():
-                return self.relay.answer(peer, message)
+                return self.relay.collect_reports(peer, message)
             case _:
                 log_event(
                     Event.PEER_REFUSED, peer=peer, reason=f"unexpected {type(message)}"
--- a/src/radishtrack/pooler/promoter.py
+++ b/src/radishtrack/pooler/promoter.py
@@ -126,7 +126,7 @@
         )
 
     async def vote(self, group: str, member: str) -> bool:
-        """Return this node's vote whether a primary can't serve.
+        """Return whether this node, too, finds that a primary can't serve.
 
         Parameters
         ----------
@@ -237,7 +237,7 @@
             return "too few members remained fenced"
         if not self.duty.may_order(claim):
             await self._unfence(access, old_primary)
-            return "the last step took longer than the claim is valid"
+            return "the claim is too old to order the promotion"
         age_ms = self.clock.now_ms() - claim.requested_ms
         result = await self.promote(
             access.name, successor.member, self.name, claim.duty.revision
--- a/src/radishtrack/pooler/promotion.py
+++ b/src/radishtrack/pooler/promotion.py
@@ -22,7 +22,8 @@
 RECEIVE_MS: Final = 500.0
 """Time after a commit by which every replica that still replicates has received it."""
 PROMOTION_UNFINISHED_MS: Final = 1_500.0
-"""Time by which a promotion that was started is over, unless its node has failed."""
+"""Time without a primary, or with fenced members, after which a promotion counts as
+abandoned; it is over by then unless its node has failed."""
 
 
 class PromotionReason(enum.Enum):
@@ -45,20 +46,25 @@
     """Tracks for how long no replica has followed the primary's log."""
 
     ahead_since_ms: float | None = None
-    ahead: MemberReport | None = None
+    """Since when all replicas lack the position of `ahead_report`, if they do."""
+    ahead_report: MemberReport | None = None
+    """Report of the primary at that time."""
 
     def observe(self, evidence: GroupEvidence, now_ms: float) -> None:
         """Compare the current reports; must be called regularly."""
         primary_report = evidence.find_report(evidence.primary)
         if primary_report is None or primary_report.role is not Role.PRIMARY:
-            self.ahead_since_ms = self.ahead = None
+            self.ahead_since_ms = self.ahead_report = None
             return
-        is_same = self.ahead is not None and self.ahead.member == primary_report.member
+        is_same = (
+            self.ahead_report is not None
+            and self.ahead_report.member == primary_report.member
+        )
         if is_same and not self._is_followed(evidence):
             return
-        self.ahead, self.ahead_since_ms = primary_report, now_ms
+        self.ahead_report, self.ahead_since_ms = primary_report, now_ms
         if self._is_followed(evidence):
-            self.ahead_since_ms = self.ahead = None
+            self.ahead_since_ms = self.ahead_report = None
 
     def stalled_ms(self, now_ms: float) -> float:
         """Return for how long the primary has been ahead of all replicas."""
@@ -69,24 +75,24 @@
     def is_stall_confirmed(self, evidence: GroupEvidence) -> bool:
         """Return whether later reports of all replicas still lack the position."""
         since_ms = self.ahead_since_ms
-        ahead = self.ahead
-        if since_ms is None or ahead is None:
+        ahead_report = self.ahead_report
+        if since_ms is None or ahead_report is None:
             return False
-        replicas = evidence.members - {ahead.member}
+        replicas = evidence.members - {ahead_report.member}
         replica_observations = [evidence.observations.get(name) for name in replicas]
         return bool(replica_observations) and all(
             observation is not None
             and observation.requested_ms >= since_ms + RECEIVE_MS
-            and observation.report.position < ahead.position
+            and observation.report.position < ahead_report.position
             for observation in replica_observations
         )
 
     def _is_followed(self, evidence: GroupEvidence) -> bool:
-        assert self.ahead is not None
+        assert self.ahead_report is not None
         return any(
-            observation.report.position >= self.ahead.position
+            observation.report.position >= self.ahead_report.position
             for name, observation in evidence.observations.items()
-            if name != self.ahead.member
+            if name != self.ahead_report.member
         )
 
 
--- a/src/radishtrack/pooler/promotion_duty.py
+++ b/src/radishtrack/pooler/promotion_duty.py
@@ -1,4 +1,4 @@
-"""The duty to order promotions, held by one node at a time for the time of a lease."""
+"""The duty to order promotions, held by one node at a time under a lease."""
 
 from __future__ import annotations
 
--- a/src/radishtrack/pooler/rate_exchange.py
+++ b/src/radishtrack/pooler/rate_exchange.py
@@ -30,14 +30,14 @@
 EXCHANGE_INTERVAL_MS: Final = 300.0
 """Pause between exchanges without demand; three fit into the time of a delegation."""
 EXCHANGE_TIMEOUT_MS: Final = 300.0
-"""A response takes one round trip."""
+"""Time limit of an exchange, which takes one round trip."""
 JOIN_DELAY_MS: Final = 1_000.0
-"""By then all nodes have read the record of a new one."""
+"""Time after which all nodes have read the record of a new one."""
 UNRESPONSIVE_NODE_MS: Final = 4_000.0
-"""A node without a request for this long is considered gone; a restart takes up to
+"""Time without a request after which a node is considered gone; a restart takes up to
 2 s."""
 MAX_COPY_AGE_MS: Final = 2_500.0
-"""A coordinator whose copy of the store is older may have been replaced."""
+"""Age of its copy of the store from which a coordinator may have been replaced."""
 
 
 @attrs.define(eq=False)
@@ -54,7 +54,7 @@
     """State as coordinator; None while another node has the duty."""
     epoch: int = 0
     reply: int = 0
-    """Number of the present coordinator's last response."""
+    """Number of the current coordinator's last response."""
     delegated_to: str = ""
     """Coordinator to which this node has delegated its shares; empty if none."""
     last_request_ms: dict[str, float] = attrs.field(factory=dict)
@@ -64,7 +64,7 @@
     exchange_done: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     def configure(self) -> None:
-        """Apply the present configuration and number of nodes."""
+        """Apply the current configuration and number of nodes."""
         now_ms = self.clock.now_ms()
         if not self.limiter.demands:
             # Until the other nodes have read this node's record, they divide the rates
@@ -139,7 +139,7 @@
         return DutyNoted(message.request)
 
     def is_coordinator(self) -> bool:
-        """Tell whether this node is the rate coordinator."""
+        """Return whether this node is the rate coordinator."""
         return self.coordinator is not None
 
     def list_unresponsive_nodes(self) -> tuple[str, ...]:
@@ -197,8 +197,8 @@
     async def return_shares(self) -> None:
         """End the delegation to an earlier coordinator, if that responds.
 
-        A coordinator that does not run grants nothing any more; with an unresponsive
-        one, the node has to wait until the delegation expires.
+        A coordinator that is not running grants nothing; with an unresponsive one, the
+        node has to wait until the delegation expires.
         """
         earlier, self.delegated_to = self.delegated_to, ""
         is_returned = earlier == self.name
@@ -220,8 +220,8 @@
             self.exchange_requested.set()
 
     async def _exchange(self) -> bool:
-        """Send the coordinator one request; return whether it responded as such."""
-        coordinator_name = self.failover.holder
+        """Send the coordinator one request; return whether it is the coordinator."""
+        coordinator_name = self.failover.coordinator_name
         if self.delegated_to not in ("", coordinator_name):
             await self.return_shares()
         requested_ms = self.clock.now_ms()
--- a/src/radishtrack/pooler/rate_limit.py
+++ b/src/radishtrack/pooler/rate_limit.py
@@ -59,7 +59,7 @@
     tokens: int = 0
     """Granted tokens that are not used yet."""
     expires_ms: float = 0.0
-    used: int = 0
+    used_tokens: int = 0
     """Granted tokens that were used since the last exchange."""
     waiting: int = 0
     """Operations that wait for a token."""
@@ -96,13 +96,13 @@
             demand.share.tokens = min(demand.share.tokens, burst)
 
     def acquire(self, organisation: str, now_ms: float) -> bool:
-        """Acquire a token of an organisation, if there is one."""
+        """Acquire a token of an organisation; return whether there was one."""
         demand = self.demands.get(organisation)
         if demand is None:
             return False
         if demand.tokens > 0 and now_ms < demand.expires_ms:
             demand.tokens -= 1
-            demand.used += 1
+            demand.used_tokens += 1
             return True
         if now_ms < self.delegated_until_ms:
             return False
@@ -126,12 +126,12 @@
             demand.waiting = max(0, demand.waiting + count)
 
     def defer_own_shares(self, from_ms: float) -> None:
-        """Leave the own shares unused until `from_ms`."""
+        """Leave this node's own shares unused until `from_ms`."""
         self.delegated_until_ms = max(self.delegated_until_ms, from_ms)
         self.is_delegating = True
 
     def end_delegation(self, now_ms: float) -> None:
-        """Use the own shares again, since the coordinator no longer counts them."""
+        """Use this node's shares again, since the coordinator no longer counts them."""
         self.delegated_until_ms = min(self.delegated_until_ms, now_ms)
 
     def collect_requests(self, now_ms: float) -> tuple[tuple[str, int], ...]:
@@ -165,16 +165,16 @@
     def _collect_requests(self, now_ms: float) -> Iterable[tuple[str, int]]:
         for name, demand in self.demands.items():
             prefetch = 0
-            if demand.used >= PREFETCH_MIN_USED:
-                prefetch = int(demand.used * PREFETCH_FRACTION)
+            if demand.used_tokens >= PREFETCH_MIN_USED:
+                prefetch = int(demand.used_tokens * PREFETCH_FRACTION)
             unused_tokens = demand.tokens if now_ms < demand.expires_ms else 0
             requested = demand.waiting + max(0, prefetch - unused_tokens)
-            demand.used = 0
+            demand.used_tokens = 0
             if requested and now_ms >= demand.refused_until_ms:
                 yield name, requested
 
     def _reset_own_shares(self) -> None:
-        """Restart the own shares empty, as of the end of the delegation."""
+        """Restart this node's own shares empty, as of the end of the delegation."""
         self.is_delegating = False
         for demand in self.demands.values():
             demand.share.reset(self.delegated_until_ms)
--- a/src/radishtrack/pooler/readiness.py
+++ b/src/radishtrack/pooler/readiness.py
@@ -1,4 +1,4 @@
-"""Whether a node should get new connections, and how it stops."""
+"""Times of a node's planned stop."""
 
 from __future__ import annotations
 
@@ -7,7 +7,8 @@
 import attrs
 
 KEEP_ACCEPTING_MS: Final = 2_600.0
-"""The load balancer probes once a second and removes a node after two failed probes."""
+"""Time for which a stopping node accepts connections. The load balancer probes once a
+second and removes a node after two failed probes."""
 FINISH_FRACTION: Final = 0.5
 """Fraction of the grace period in which open transactions may finish."""
 EXIT_FRACTION: Final = 0.8
--- a/src/radishtrack/pooler/report_relay.py
+++ b/src/radishtrack/pooler/report_relay.py
@@ -52,8 +52,10 @@
     is_relay: Callable[[], bool]
     groups: Mapping[str, GroupAccess]
     receivers: dict[str, Receiver] = attrs.field(factory=dict)
-    relay: str = ""
-    received: int = 0
+    relay_name: str = ""
+    """Node to which the last request was sent."""
+    received_number: int = 0
+    """Number of that node's last response; 0 if none was received."""
 
     async def run(self) -> None:
         """Request reports periodically."""
@@ -63,7 +65,7 @@
             if relay is not None:
                 await self._poll_relay(relay)
 
-    def answer(self, node: str, message: ReportsWanted) -> Reports:
+    def collect_reports(self, node: str, message: ReportsWanted) -> Reports:
         """Return the reports that a node does not have yet."""
         if not self.is_relay():
             return Reports(message.request, 0, -1, 0, 0, 0, 0.0, ())
@@ -110,18 +112,18 @@
                 )
 
     async def _poll_relay(self, relay: NodeRecord) -> None:
-        if relay.name != self.relay:
-            self.relay, self.received = relay.name, 0
+        if relay.name != self.relay_name:
+            self.relay_name, self.received_number = relay.name, 0
         requested_ms = self.clock.now_ms()
         response = await self.peers.send_request(
             relay,
-            lambda request: ReportsWanted(request, self.received),
+            lambda request: ReportsWanted(request, self.received_number),
             RELAY_TIMEOUT_MS,
         )
         if not isinstance(response, Reports):
-            self.received = 0
+            self.received_number = 0
             return
-        self.received = response.number
+        self.received_number = response.number
         if response.number:
             content = CopyContent(
                 response.revision, response.catalog, response.members, response.fleet
@@ -160,6 +162,6 @@
                 primary=access.evidence.primary or "none",
                 term=access.evidence.term,
                 reported_by=name,
-                relayed_by=self.relay,
+                relayed_by=self.relay_name,
             )
         access.notify()
--- a/src/radishtrack/pooler/request_log.py
+++ b/src/radishtrack/pooler/request_log.py
@@ -19,7 +19,7 @@
 """Log lines for served statements, as a sample."""
 LIMIT_PERIOD_MS: Final = 1_000.0
 SLOW_OBJECTIVES: Final = 1.0
-"""Statements that take more latency objectives are logged like refused ones."""
+"""Latency objectives beyond which a statement is logged like a refused one."""
 LATENCY_BUCKETS_S: Final = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6)
 
 
--- a/src/radishtrack/pooler/retry.py
+++ b/src/radishtrack/pooler/retry.py
@@ -1,4 +1,4 @@
-"""When a statement that did not run is retried, and how long it may wait."""
+"""Deadlines of a statement and limits of its retries."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     attempts: int = 0
 
     def may_retry(self, now_ms: float) -> bool:
-        """Tell whether another attempt may start."""
+        """Return whether another attempt may start."""
         return self.attempts < MAX_ATTEMPTS and now_ms < self.wait_until_ms
 
     def remaining_ms(self, now_ms: float) -> float:
--- a/src/radishtrack/pooler/session.py
+++ b/src/radishtrack/pooler/session.py
@@ -11,8 +11,8 @@
 from radishtrack.pooler.catalog import Route, digest_key
 from radishtrack.pooler.execution import (
     Executable,
-    Request,
     Result,
+    StatementContext,
     make_refusal,
     run_read,
     run_write,
@@ -78,7 +78,7 @@
     refresh : callable
         Reads the configuration from the store; takes what the local copy lacks.
     admit : callable
-        Takes an organisation and the longest wait in milliseconds; tells whether its
+        Takes an organisation and the longest wait in milliseconds; returns whether its
         rate admits one more operation.
     find_group : callable
         Returns the access to a group.
@@ -201,7 +201,7 @@
         access = self._require_access()
         arrived_ms = self.context.clock.now_ms()
         result = await transaction.commit(
-            self._make_request(access, None, arrived_ms),
+            self._make_statement_context(access, None, arrived_ms),
             statement,
             self.positions.get(access.route.group),
         )
@@ -223,22 +223,22 @@
         else:
             is_write = statement.is_write
         arrived_ms = self.context.clock.now_ms()
-        request = self._make_request(access, prepare, arrived_ms)
+        statement_context = self._make_statement_context(access, prepare, arrived_ms)
         group = self.context.find_group(access.route.group)
         position = self.positions.get(group.name)
         if self.transaction is not None:
             result = await self.transaction.run(
-                request, executable, position, is_write=is_write
+                statement_context, executable, position, is_write=is_write
             )
         elif not await self._acquire_token(access):
             return self._refuse_over_rate(statement.statement_id, "admit")
         elif is_write:
-            result = await run_write(group, request, executable)
+            result = await run_write(group, statement_context, executable)
             if result.response.refusal is None:
                 self._record_commit(group.name, result)
         else:
-            result = await run_read(group, request, executable, position)
-        result = attrs.evolve(result, attempts=request.plan.attempts)
+            result = await run_read(group, statement_context, executable, position)
+        result = attrs.evolve(result, attempts=statement_context.plan.attempts)
         step = "write" if is_write else "read"
         return self._respond(statement.statement_id, step, result, arrived_ms)
 
@@ -259,11 +259,13 @@
         self.prepared[statement.name] = member_prepare
         return self._complete()
 
-    def _make_request(
+    def _make_statement_context(
         self, access: SessionAccess, prepare: Prepare | None, arrived_ms: float
-    ) -> Request:
+    ) -> StatementContext:
         plan = make_attempt_plan(access.route, arrived_ms)
-        return Request(access.organisation, access.route, self.values, prepare, plan)
+        return StatementContext(
+            access.organisation, access.route, self.values, prepare, plan
+        )
 
     def _require_access(self) -> SessionAccess:
         assert self.access is not None
--- a/src/radishtrack/pooler/shares.py
+++ b/src/radishtrack/pooler/shares.py
@@ -9,8 +9,8 @@
 - at the coordinator, it lasts for `DELEGATION_MS` from when the coordinator sent the
   last response that the node has confirmed.
 
-So several nodes may act as coordinator at a time: each grants no more than is delegated
-to it, and a node delegates to one at a time.
+Therefore several nodes may act as coordinator at a time: each grants no more than is
+delegated to it, and a node delegates to one at a time.
 """
 
 from __future__ import annotations
@@ -120,7 +120,7 @@
         requested : iterable
             Pairs of organisation and number of tokens.
         now_ms : float
-            Present time in milliseconds.
+            Current time in milliseconds.
 
         Returns
         -------
--- a/src/radishtrack/pooler/statements.py
+++ b/src/radishtrack/pooler/statements.py
@@ -106,7 +106,17 @@
 
 @attrs.frozen
 class Prepare:
-    """Prepares a statement under a name."""
+    """Prepares a statement under a name.
+
+    Parameters
+    ----------
+    name : str
+        Name for `RunPrepared`.
+    is_write : bool
+        Whether it writes.
+    shape : str
+        Shape of the query; members get it unchanged.
+    """
 
     name: str
     is_write: bool
--- a/src/radishtrack/pooler/store_copy.py
+++ b/src/radishtrack/pooler/store_copy.py
@@ -2,7 +2,7 @@
 
 One small linearizable call returns the registered nodes and the store's revision. The
 configuration and the members are read again only if the revision has changed, so that
-an idle fleet costs one call an interval, and correctness does not depend on a watch.
+an idle fleet costs one call per interval, and correctness does not depend on a watch.
 One node reads for all: it confirms the revision to the others and sends digests of what
 it has read, so that they read only what has changed.
 """
@@ -98,7 +98,7 @@
 
 @attrs.define(eq=False)
 class StoreCopy:
-    """The copy and the calls that confirm it; `run` keeps it up to date.
+    """A node's cached copy of the store; `run` keeps it up to date.
 
     Parameters
     ----------
--- a/src/radishtrack/pooler/transaction.py
+++ b/src/radishtrack/pooler/transaction.py
@@ -11,10 +11,10 @@
 from radishtrack.errors import RequestError
 from radishtrack.pooler.execution import (
     Executable,
-    Request,
     Result,
+    StatementContext,
     confirm_commit,
-    is_open,
+    is_transaction_open,
     make_refusal,
     prepare_link,
     run_on_link,
@@ -64,7 +64,7 @@
 
     async def run(
         self,
-        request: Request,
+        context: StatementContext,
         statement: Executable,
         session_position: Position | None,
         *,
@@ -72,28 +72,31 @@
     ) -> Result:
         """Run a statement of the transaction."""
         if self.pooled is None:
-            refused = await self._begin(request, session_position)
+            refused = await self._begin(context, session_position)
             if refused is not None:
                 await self.abandon()
                 return refused
         assert self.pooled is not None and self.pool is not None
         self.has_written = self.has_written or is_write
-        result = await self._run_pinned(request, statement)
-        if not is_open(result.response):
+        result = await self._run_pinned(context, statement)
+        if not is_transaction_open(result.response):
             await self.abandon()
         return result
 
     async def commit(
-        self, request: Request, statement: Commit, session_position: Position | None
+        self,
+        context: StatementContext,
+        statement: Commit,
+        session_position: Position | None,
     ) -> Result:
-        """Commit; ends the transaction with every result."""
+        """Commit; the transaction ends whatever the result."""
         if self.has_failed:
             await self.abandon()
             return make_refusal(
                 Refusal.ABORTED, "the transaction had failed", self.member
             )
         if self.pooled is None:
-            refused = await self._begin(request, session_position)
+            refused = await self._begin(context, session_position)
             if refused is not None:
                 await self.abandon()
                 return refused
@@ -106,7 +109,7 @@
                 self.pooled,
                 statement,
                 min_position=None,
-                timeout_ms=request.plan.remaining_ms(self.access.clock.now_ms()),
+                timeout_ms=context.plan.remaining_ms(self.access.clock.now_ms()),
             )
         except LinkLost as error:
             await self.abandon()
@@ -139,13 +142,15 @@
         except LinkLost:
             pooled.link.close()
 
-    async def _run_pinned(self, request: Request, statement: Executable) -> Result:
+    async def _run_pinned(
+        self, context: StatementContext, statement: Executable
+    ) -> Result:
         assert self.pooled is not None and self.pool is not None
-        plan = request.plan
+        plan = context.plan
         while True:
             plan.attempts += 1
             try:
-                await prepare_link(self.pooled, request)
+                await prepare_link(self.pooled, context)
                 response = await run_on_link(
                     self.access,
                     self.pool,
@@ -165,14 +170,14 @@
             await asyncio.sleep(RETRY_PAUSE_MS / 1000)
 
     async def _begin(
-        self, request: Request, session_position: Position | None
+        self, context: StatementContext, session_position: Position | None
     ) -> Result | None:
         """Begin at a member; return a refusal if no member accepts."""
-        plan = request.plan
+        plan = context.plan
         while True:
             plan.attempts += 1
             read_plan = await self.access.await_plan(
-                lambda: self._find_plan(request, session_position),
+                lambda: self._find_plan(context, session_position),
                 plan.evidence_until_ms,
             )
             if read_plan is None:
@@ -183,7 +188,7 @@
                 Refusal.BUSY, "no member can start the transaction"
             )
             for member in read_plan.members:
-                refused = await self._begin_at(member, request, read_plan.min_position)
+                refused = await self._begin_at(member, context, read_plan.min_position)
                 if refused is None:
                     return None
                 if not plan.may_retry(self.access.clock.now_ms()):
@@ -193,16 +198,16 @@
             await asyncio.sleep(RETRY_PAUSE_MS / 1000)
 
     def _find_plan(
-        self, request: Request, session_position: Position | None
+        self, context: StatementContext, session_position: Position | None
     ) -> ReadPlan | None:
         if not self.is_read_only:
-            return self.access.plan_primary(request.route, session_position)
+            return self.access.plan_primary(context.route, session_position)
         return self.access.plan_read(
-            request.route, session_position, request.organisation
+            context.route, session_position, context.organisation
         )
 
     async def _begin_at(
-        self, member: str, request: Request, min_position: Position | None
+        self, member: str, context: StatementContext, min_position: Position | None
     ) -> Result | None:
         pool = self.access.pools.get(member)
         if pool is None or not pool.is_reachable or not self.access.may_use(member):
@@ -211,17 +216,17 @@
         try:
             pooled = await stack.enter_async_context(
                 pool.lease(
-                    request.organisation, request.values, request.plan.wait_until_ms
+                    context.organisation, context.values, context.plan.wait_until_ms
                 )
             )
-            await prepare_link(pooled, request)
+            await prepare_link(pooled, context)
             response = await run_on_link(
                 self.access,
                 pool,
                 pooled,
                 Begin(self.is_read_only),
                 min_position=min_position,
-                timeout_ms=request.plan.remaining_ms(self.access.clock.now_ms()),
+                timeout_ms=context.plan.remaining_ms(self.access.clock.now_ms()),
             )
         except RequestError as error:
             await stack.aclose()
@@ -236,7 +241,7 @@
         except BaseException:
             await stack.aclose()
             raise
-        if not is_open(response):
+        if not is_transaction_open(response):
             await stack.aclose()
             return Result(response, member)
         self.member, self.pool, self.pooled, self.stack = member, pool, pooled, stack
--- a/tests/pooler_simulation.py
+++ b/tests/pooler_simulation.py
@@ -193,10 +193,10 @@
     """Return whether all nodes have evidence and the rate coordinator has tokens."""
     coordinators = [running.node.rates.coordinator for running in simulation.nodes]
     tokens = [
-        share.bucket.available()
+        delegated.bucket.available()
         for coordinator in coordinators
         if coordinator is not None
-        for share in coordinator.buckets.values()
+        for delegated in coordinator.buckets.values()
     ]
     if not simulation.nodes:
         return True
--- a/tests/test_pooler_evidence.py
+++ b/tests/test_pooler_evidence.py
@@ -195,7 +195,7 @@
     assert count_required_fences(evidence, old_primary) == needed
 
 
-def test_replication_counts_as_stalled_only_after_every_replica_was_asked() -> None:
+def test_replication_counts_as_stalled_only_after_every_replica_was_polled() -> None:
     """Guards against the replacement of a healthy primary at startup.
 
     The primary is known before its replicas are listed; in a benchmark it was then
--- a/tests/test_pooler_rates.py
+++ b/tests/test_pooler_rates.py
@@ -91,7 +91,7 @@
 
 
 async def test_lost_coordinator_is_replaced_once() -> None:
-    """A new coordinator grants nothing at first, so others claimed the duty in turn."""
+    """Others took over a new coordinator's duty, since it grants nothing at first."""
     async with open_simulation(nodes=3) as simulation:
         lost = simulation.nodes.pop(find_coordinator(simulation))
         await lost.stop()
@@ -165,7 +165,7 @@
 
 
 async def test_node_that_alone_loses_the_coordinator_does_not_replace_it() -> None:
-    """A node with a network fault and the coordinator would claim the duty in turn."""
+    """With its network fault, it would take turns with the coordinator in the duty."""
     async with open_simulation(nodes=3) as simulation:
         epoch = read_epoch(simulation)
         number = find_coordinator(simulation)
--- a/tests/test_pooler_store_copy.py
+++ b/tests/test_pooler_store_copy.py
@@ -78,10 +78,10 @@
     return StoreCopy(store, make_manual_clock(time), NODE, lambda: None)
 
 
-async def test_a_quiet_store_costs_one_call(
+async def test_an_unchanged_configuration_is_read_once(
     store_copy: StoreCopy, store: FakeStore
 ) -> None:
-    """Guards against reading unchanged content again; the fleet shares the calls."""
+    """Unchanged content must not be read again: all nodes share the store's calls."""
     for _ in range(5):
         assert await store_copy.confirm()
     assert store.catalog_reads == 1
