--- a/src/radishtrack/pooler/rate_exchange.py
+++ b/src/radishtrack/pooler/rate_exchange.py
@@ -16,7 +16,6 @@
     SharesReturned,
     SharesWanted,
 )
-from radishtrack.pooler.control import Control
 from radishtrack.pooler.coordinator_failover import RATES_DUTY, CoordinatorFailover
 from radishtrack.pooler.peers import NotRunning, Peers
 from radishtrack.pooler.ports import Duty
@@ -26,18 +25,19 @@
     RateCoordinator,
     make_rate_coordinator,
 )
+from radishtrack.pooler.store_copy import StoreCopy
 
 EXCHANGE_INTERVAL_MS: Final = 300.0
 """Pause between exchanges without demand; three fit into the time of a delegation."""
 EXCHANGE_TIMEOUT_MS: Final = 300.0
-"""A response takes one round trip."""
+"""Time limit of an exchange, which takes one round trip."""
 JOIN_DELAY_MS: Final = 1_000.0
-"""By then all nodes have read the record of a new one."""
+"""Time after which all nodes have read the record of a new one."""
 UNRESPONSIVE_NODE_MS: Final = 4_000.0
-"""A node without a request for this long is considered gone; a restart takes up to
+"""Time without a request after which a node is considered gone; a restart takes up to
 2 s."""
 MAX_COPY_AGE_MS: Final = 2_500.0
-"""A coordinator whose copy of the store is older may have been replaced."""
+"""Age of its copy of the store from which a coordinator may have been replaced."""
 
 
 @attrs.define(eq=False)
@@ -46,7 +46,7 @@
 
     name: str
     clock: Clock
-    control: Control
+    store_copy: StoreCopy
     peers: Peers
     failover: CoordinatorFailover
     limiter: RateLimiter = attrs.field(factory=RateLimiter)
@@ -54,7 +54,7 @@
     """State as coordinator; None while another node has the duty."""
     epoch: int = 0
     reply: int = 0
-    """Number of the present coordinator's last response."""
+    """Number of the current coordinator's last response."""
     delegated_to: str = ""
     """Coordinator to which this node has delegated its shares; empty if none."""
     last_request_ms: dict[str, float] = attrs.field(factory=dict)
@@ -64,14 +64,14 @@
     exchange_done: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     def configure(self) -> None:
-        """Apply the present configuration and number of nodes."""
+        """Apply the current configuration and number of nodes."""
         now_ms = self.clock.now_ms()
         if not self.limiter.demands:
             # Until the other nodes have read this node's record, they divide the rates
             # without it.
             self.limiter.defer_own_shares(now_ms + JOIN_DELAY_MS)
-        nodes = max(1, len(self.control.nodes))
-        organisations = self.control.catalog.organisations
+        nodes = max(1, len(self.store_copy.nodes))
+        organisations = self.store_copy.catalog.organisations
         self.limiter.configure(organisations, nodes, now_ms)
         self.follow_duty()
         if self.coordinator is not None:
@@ -101,7 +101,7 @@
         now_ms = self.clock.now_ms()
         self.last_request_ms[node] = now_ms
         coordinator = self.coordinator
-        age_ms = self.control.age_ms()
+        age_ms = self.store_copy.age_ms()
         if coordinator is None:
             return SharesGranted(message.request, 0, NO_DELEGATION, (), age_ms)
         if self.is_stopping:
@@ -127,31 +127,31 @@
         if self.coordinator is not None:
             self.coordinator.remove_delegation(node)
             epoch = self.coordinator.epoch
-        age_ms = self.control.age_ms()
+        age_ms = self.store_copy.age_ms()
         return SharesGranted(message.request, epoch, NO_DELEGATION, (), age_ms)
 
     def record_duty(self, message: DutyChanged) -> DutyNoted:
         """Record that another node claimed the duty, or that the coordinator stops."""
         duty = Duty(message.holder, message.revision, message.claim)
-        self.control.record_duty(message.name, duty)
+        self.store_copy.record_duty(message.name, duty)
         self.follow_duty()
         self.exchange_requested.set()
         return DutyNoted(message.request)
 
     def is_coordinator(self) -> bool:
-        """Tell whether this node is the rate coordinator."""
+        """Return whether this node is the rate coordinator."""
         return self.coordinator is not None
 
     def list_unresponsive_nodes(self) -> tuple[str, ...]:
         """Return the registered nodes without a recent request to this coordinator."""
         # A coordinator with an old copy of the store may have been replaced; nodes then
         # send their requests to another one.
-        if self.coordinator is None or self.control.age_ms() >= MAX_COPY_AGE_MS:
+        if self.coordinator is None or self.store_copy.age_ms() >= MAX_COPY_AGE_MS:
             return ()
         before_ms = self.clock.now_ms() - UNRESPONSIVE_NODE_MS
         return tuple(
             node.name
-            for node in self.control.registered
+            for node in self.store_copy.registered
             if node.name != self.name
             and max(self.coordinator.since_ms, self.last_request_ms.get(node.name, 0.0))
             < before_ms
@@ -165,7 +165,7 @@
                 async with asyncio.timeout(EXCHANGE_INTERVAL_MS / 1000):
                     await self.exchange_requested.wait()
             self.exchange_requested.clear()
-            if self.control.confirmed_ms is None:
+            if self.store_copy.confirmed_ms is None:
                 await asyncio.sleep(EXCHANGE_INTERVAL_MS / 1000)
                 continue
             has_response = await self._exchange()
@@ -197,8 +197,8 @@
     async def return_shares(self) -> None:
         """End the delegation to an earlier coordinator, if that responds.
 
-        A coordinator that does not run grants nothing any more; with an unresponsive
-        one, the node has to wait until the delegation expires.
+        A coordinator that is not running grants nothing; with an unresponsive one, the
+        node has to wait until the delegation expires.
         """
         earlier, self.delegated_to = self.delegated_to, ""
         is_returned = earlier == self.name
@@ -220,8 +220,8 @@
             self.exchange_requested.set()
 
     async def _exchange(self) -> bool:
-        """Send the coordinator one request; return whether it responded as such."""
-        coordinator_name = self.failover.holder
+        """Send the coordinator one request; return whether it is the coordinator."""
+        coordinator_name = self.failover.coordinator_name
         if self.delegated_to not in ("", coordinator_name):
             await self.return_shares()
         requested_ms = self.clock.now_ms()
@@ -251,7 +251,7 @@
     async def _request_shares(
         self, coordinator_name: str, requested: tuple[tuple[str, int], ...]
     ) -> SharesGranted | None:
-        nodes = max(1, len(self.control.nodes))
+        nodes = max(1, len(self.store_copy.nodes))
         if coordinator_name == self.name:
             own = SharesWanted(0, self.epoch, self.reply, nodes, requested)
             return self.grant(self.name, own)
@@ -269,7 +269,7 @@
 
     def follow_duty(self) -> None:
         """Become coordinator or stop being it, according to the duty's record."""
-        duty = self.control.find_duty(RATES_DUTY).duty
+        duty = self.store_copy.find_duty(RATES_DUTY).duty
         if duty.holder != self.name:
             self.coordinator = None
         elif self.coordinator is None or self.coordinator.epoch != duty.revision:
@@ -277,8 +277,8 @@
 
 
 def make_rate_exchange(
-    name: str, clock: Clock, control: Control, peers: Peers
+    name: str, clock: Clock, store_copy: StoreCopy, peers: Peers
 ) -> RateExchange:
     """Return a node's part in dividing the rates; no shares are delegated yet."""
-    failover = CoordinatorFailover(name, clock, control, peers)
-    return RateExchange(name, clock, control, peers, failover)
+    failover = CoordinatorFailover(name, clock, store_copy, peers)
+    return RateExchange(name, clock, store_copy, peers, failover)
--- a/src/radishtrack/pooler/report_relay.py
+++ b/src/radishtrack/pooler/report_relay.py
@@ -20,9 +20,9 @@
 from radishtrack.group.status import Role
 from radishtrack.peer.messages import PackedReport, Reports, ReportsWanted
 from radishtrack.pooler.catalog import MemberReport, NodeRecord
-from radishtrack.pooler.control import Control, CopyContent
 from radishtrack.pooler.group_access import GroupAccess
 from radishtrack.pooler.peers import Peers
+from radishtrack.pooler.store_copy import CopyContent, StoreCopy
 from radishtrack.session.position import Position
 
 RELAY_INTERVAL_MS: Final = 450.0
@@ -46,14 +46,16 @@
     """Sends and receives reports at one node; `run` never returns."""
 
     clock: Clock
-    control: Control
+    store_copy: StoreCopy
     peers: Peers
     find_relay: Callable[[], NodeRecord | None]
     is_relay: Callable[[], bool]
     groups: Mapping[str, GroupAccess]
     receivers: dict[str, Receiver] = attrs.field(factory=dict)
-    relay: str = ""
-    received: int = 0
+    relay_name: str = ""
+    """Node to which the last request was sent."""
+    received_number: int = 0
+    """Number of that node's last response; 0 if none was received."""
 
     async def run(self) -> None:
         """Request reports periodically."""
@@ -63,7 +65,7 @@
             if relay is not None:
                 await self._poll_relay(relay)
 
-    def answer(self, node: str, message: ReportsWanted) -> Reports:
+    def collect_reports(self, node: str, message: ReportsWanted) -> Reports:
         """Return the reports that a node does not have yet."""
         if not self.is_relay():
             return Reports(message.request, 0, -1, 0, 0, 0, 0.0, ())
@@ -73,7 +75,7 @@
             receiver.sent_ms.clear()
         receiver.number += 1
         reports = tuple(self._pack(receiver))
-        content = self.control.content
+        content = self.store_copy.content
         return Reports(
             message.request,
             receiver.number,
@@ -81,7 +83,7 @@
             content.catalog,
             content.members,
             content.fleet,
-            self.control.age_ms(),
+            self.store_copy.age_ms(),
             reports,
         )
 
@@ -110,23 +112,23 @@
                 )
 
     async def _poll_relay(self, relay: NodeRecord) -> None:
-        if relay.name != self.relay:
-            self.relay, self.received = relay.name, 0
+        if relay.name != self.relay_name:
+            self.relay_name, self.received_number = relay.name, 0
         requested_ms = self.clock.now_ms()
         response = await self.peers.send_request(
             relay,
-            lambda request: ReportsWanted(request, self.received),
+            lambda request: ReportsWanted(request, self.received_number),
             RELAY_TIMEOUT_MS,
         )
         if not isinstance(response, Reports):
-            self.received = 0
+            self.received_number = 0
             return
-        self.received = response.number
+        self.received_number = response.number
         if response.number:
             content = CopyContent(
                 response.revision, response.catalog, response.members, response.fleet
             )
-            self.control.accept_confirmation(
+            self.store_copy.accept_confirmation(
                 content, requested_ms - response.confirmed_age_ms
             )
         for packed in response.reports:
@@ -160,6 +162,6 @@
                 primary=access.evidence.primary or "none",
                 term=access.evidence.term,
                 reported_by=name,
-                relayed_by=self.relay,
+                relayed_by=self.relay_name,
             )
         access.notify()
--- a/tests/pooler_world.py
+++ b/tests/pooler_simulation.py
@@ -88,7 +88,7 @@
             for pool in access.pools.values():
                 pool.drop_all()
         await self.node.peers.close()
-        store = self.node.control.store
+        store = self.node.store_copy.store
         assert isinstance(store, PlatformControlStore)
         await store.client.close()
 
@@ -193,10 +193,10 @@
     """Return whether all nodes have evidence and the rate coordinator has tokens."""
     coordinators = [running.node.rates.coordinator for running in simulation.nodes]
     tokens = [
-        share.bucket.available()
+        delegated.bucket.available()
         for coordinator in coordinators
         if coordinator is not None
-        for share in coordinator.buckets.values()
+        for delegated in coordinator.buckets.values()
     ]
     if not simulation.nodes:
         return True
