--- a/src/radishtrack/admission/fair_queue.py
+++ b/src/radishtrack/admission/fair_queue.py
@@ -214,7 +214,7 @@
         self.running -= 1
         if service_ms is not None:
             if queue.waiting:
-                # Shares are fair in connection time, so long uses cost more.
+                # Connection time is to be shared fairly, so long uses cost more.
                 extra = int(service_ms / max(self.service_ms, MIN_SERVICE_MS)) - 1
                 queue.deficit -= max(0, min(MAX_CHARGE, extra))
                 queue.deficit = max(-MAX_CHARGE, queue.deficit)
--- a/src/radishtrack/config/chunk.py
+++ b/src/radishtrack/config/chunk.py
@@ -181,7 +181,7 @@
 
 
 def compute_digest(text: str) -> str:
-    """Return the SHA-256 digest of a chunk in hexadecimal."""
+    """Return the SHA-256 digest of a text in hexadecimal."""
     return hashlib.sha256(text.encode()).hexdigest()
 
 
--- a/src/radishtrack/config/store.py
+++ b/src/radishtrack/config/store.py
@@ -67,7 +67,8 @@
     get : callable
         Takes kind and name; returns the object or None; raises `StoreUnavailable`.
     put : callable
-        Takes kind, name, value and expected version (0: must not exist).
+        Takes kind, name, value and expected version (0: must not exist); returns a
+        `WriteResult`.
     retry_pause_ms : float
         Pause before a write is retried, in milliseconds.
     """
@@ -168,7 +169,7 @@
         The operator.
     apply_id : str
         Unique identifier of this attempt. Applying again with the same identifier
-        tells whether an attempt whose response was lost took effect.
+        resolves an attempt whose response was lost; it is not stored twice.
 
     Raises
     ------
--- a/src/radishtrack/keys/contact.py
+++ b/src/radishtrack/keys/contact.py
@@ -86,7 +86,7 @@
         }
 
     def is_platform_unreachable(self, now_ms: float, limit_ms: float) -> bool:
-        """Tell whether the last response of the platform is older than `limit_ms`."""
+        """Return whether the last response of the platform is older than `limit_ms`."""
         return now_ms - self.platform_contact_ms > limit_ms
 
     def check(self, now_ms: float) -> Refuse | None:
--- a/src/radishtrack/keys/key.py
+++ b/src/radishtrack/keys/key.py
@@ -76,7 +76,7 @@
 
 
 def verify_scramble(verifier: bytes, nonce: bytes, scramble: bytes) -> bool:
-    """Tell whether a client's response proves knowledge of the key.
+    """Return whether a client's response proves knowledge of the key.
 
     Parameters
     ----------
--- a/src/radishtrack/keys/keyring.py
+++ b/src/radishtrack/keys/keyring.py
@@ -61,12 +61,12 @@
         return tuple(keys.verifiers.values()) if keys else ()
 
     def is_active(self, organisation: str, key_id: str) -> bool:
-        """Tell whether a key exists and is not revoked."""
+        """Return whether a key exists and is not revoked."""
         keys = self.organisations.get(organisation)
         return keys is not None and key_id in keys.verifiers
 
     def contains_key(self, sql: str) -> bool:
-        """Tell whether a statement contains the text of an active key."""
+        """Return whether a statement contains the text of an active key."""
         return any(self._is_active_key(text) for text in find_key_texts(sql))
 
     def apply_object(
--- a/src/radishtrack/rates/allocator.py
+++ b/src/radishtrack/rates/allocator.py
@@ -52,7 +52,7 @@
 """Delegations end when the rest of the lease is this short, so that the holders
 have their standing shares before a platform outage ends the lease."""
 MIN_RETRY_MS: Final = 25.0
-"""Bounds the token requests of a holder whose organisation is over its rate."""
+"""Limits how often a holder requests tokens while its organisation is over its rate."""
 MAX_RETRY_MS: Final = 1_000.0
 MAX_CONTENTION_WAIT_MS: Final = 100.0
 """Longest retry time that is due to other holders waiting for tokens."""
@@ -84,7 +84,7 @@
     delegations_ended_ms: float = -math.inf
     """Echoes of grants made up to this time start no delegation."""
     share_in_force_ms: dict[StandingShare, float] = attrs.field(factory=dict)
-    """When a write of this allocator that contains the share first took effect."""
+    """When a write of this allocator that contains the share was first confirmed."""
     released: ReleasedLevel | None = None
 
     def observe(self, record: LeaseRecord | None, version: int, now_ms: float) -> None:
@@ -171,7 +171,7 @@
         )
 
     def set_limit(self, limit: RateLimit, now_ms: float) -> None:
-        """Apply a new configuration."""
+        """Apply a newly configured limit."""
         if self.bucket is not None:
             self._advance(now_ms)
         self.limit = limit
@@ -214,7 +214,7 @@
         return view.last_grant
 
     def grant_validity_ms(self) -> float:
-        """Return the validity of grants: the time to refill half of the burst."""
+        """Return the validity of grants: the clamped time to refill half the burst."""
         if self.limit.rate_micro == 0:
             return MAX_GRANT_VALIDITY_MS
         half_burst_ms = self.limit.burst * 1000.0 * MICRO / (2 * self.limit.rate_micro)
@@ -270,13 +270,13 @@
 
     def _reconfigure(self, now_ms: float) -> None:
         assert self.bucket is not None
-        aside = self._set_aside(now_ms)
+        set_aside = self._sum_set_aside(now_ms)
         self.bucket.configure(
-            max(0, self.limit.rate_micro - aside.rate_micro),
-            max(0, self.limit.burst - aside.burst),
+            max(0, self.limit.rate_micro - set_aside.rate_micro),
+            max(0, self.limit.burst - set_aside.burst),
         )
 
-    def _set_aside(self, now_ms: float) -> Amount:
+    def _sum_set_aside(self, now_ms: float) -> Amount:
         """Return the part of the limit that holders may use as standing shares now."""
         records = [pending.write.record for pending in self.lease.pending.values()]
         if self.lease.record is not None:
--- a/src/radishtrack/rates/holder_view.py
+++ b/src/radishtrack/rates/holder_view.py
@@ -1,4 +1,4 @@
-"""An allocator's state of its holders, and their fair shares of scarce tokens."""
+"""An allocator's view of its holders, and their fair shares of scarce tokens."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @attrs.define
 class HolderView:
-    """The allocator's state of one holder."""
+    """The allocator's view of one holder."""
 
     credit_ms: float
     """Time up to which the credit is counted."""
--- a/src/radishtrack/rates/lease.py
+++ b/src/radishtrack/rates/lease.py
@@ -1,8 +1,8 @@
 """The lease of an organisation's allocator: who may grant tokens, and until when.
 
-The clocks of two nodes have no common origin. The lease holder measures the lease
-from before it sent the write; an observer measures it from when it first read that
-version, with a margin for clock drift.
+The clocks of two nodes have no common origin. The allocator measures its lease from
+before it sent the write; an observer measures it from when it first read that version,
+with a margin for clock drift.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
 
 @attrs.define
 class LeaseState:
-    """One node's state of the lease of one organisation.
+    """One node's view of the lease of one organisation.
 
     Parameters
     ----------
@@ -64,6 +64,7 @@
     """Highest version read or written; -1 before the first read."""
     record: LeaseRecord | None = None
     first_seen_ms: float = math.inf
+    """When this node first read that version, or its write of it was confirmed."""
     pending: dict[int, PendingWrite] = attrs.field(factory=dict)
     """Writes with an unknown outcome, by revision."""
     is_own: bool = False
--- a/src/radishtrack/rates/messages.py
+++ b/src/radishtrack/rates/messages.py
@@ -47,7 +47,7 @@
 
 @attrs.define(frozen=True, order=True)
 class Stamp:
-    """Identifies a grant that starts or renews a delegation.
+    """Identifies a grant; orders the grants of one organisation.
 
     Parameters
     ----------
@@ -100,7 +100,7 @@
     demand_per_second : float
         Recent arrivals at the holder.
     settlements : tuple of Settlement
-        State of the grants held since the last request.
+        State of the grants that changed since the last request.
     echo : Stamp or None
         Stamp of the latest grant that renewed the delegation: the standing share is
         unused for `DELEGATION_MS` from its receipt.
--- a/src/radishtrack/rates/share.py
+++ b/src/radishtrack/rates/share.py
@@ -23,11 +23,11 @@
 FAILURE_RETRY_MS: Final = 100.0
 """Pause after a request could not be delivered to the allocator."""
 BATCH_HORIZON_MS: Final = 100.0
-"""A batch covers this much of the recent demand."""
+"""A batch lasts this long at the recent demand."""
 PREFETCH_HORIZON_MS: Final = 20.0
-"""New tokens are requested when the held ones cover less than this."""
+"""New tokens are requested when the held ones last less than this."""
 MAX_UNMET: Final = 64
-"""No more requests than this may wait, so more tokens would not be used."""
+"""At most this many requests may wait, so more tokens would not be used."""
 HEARTBEAT_MS: Final = 4000.0
 """Longest pause between requests of an idle holder, to keep its share delegated."""
 RETURN_MARGIN_MS: Final = 50.0
@@ -218,7 +218,10 @@
         return None
 
     def leave(self, now_ms: float) -> TokenRequest:
-        """Return all tokens and the standing share when the holder drains."""
+        """Drop all tokens and the standing share, because the holder drains.
+
+        Returns the request that reports the tokens as unused.
+        """
         self.leaving = True
         self.standing.discard()
         for grant in self.grants:
@@ -256,7 +259,7 @@
         )
 
     def set_limit(self, limit: RateLimit, now_ms: float) -> None:
-        """Apply a new configuration."""
+        """Apply a newly configured limit."""
         self.limit = limit
         self.standing.set_limit(limit, now_ms)
 
--- a/src/radishtrack/rates/standing_plan.py
+++ b/src/radishtrack/rates/standing_plan.py
@@ -10,7 +10,7 @@
 from radishtrack.rates.messages import LeaseRecord, RateLimit, StandingShare
 
 STANDING_DIVISOR: Final = 2
-"""Standing shares may use half of the limit."""
+"""Standing shares together have at most half of the limit."""
 
 
 @attrs.define(frozen=True)
--- a/src/radishtrack/rates/standing_share.py
+++ b/src/radishtrack/rates/standing_share.py
@@ -96,7 +96,7 @@
         self.valid_until_ms = -math.inf
 
     def set_limit(self, limit: RateLimit, now_ms: float) -> None:
-        """Apply a new configuration; a lower limit scales the share down."""
+        """Apply a newly configured limit; a lower one scales the share down."""
         self.limit = limit
         self._reconfigure(now_ms)
 
--- a/src/radishtrack/routing/route.py
+++ b/src/radishtrack/routing/route.py
@@ -213,7 +213,7 @@
 
 
 def contains_position(status: MemberStatus, position: Position, group: Group) -> bool:
-    """Tell whether a member of the current term contains a position.
+    """Return whether a member of the current term contains a position.
 
     Parameters
     ----------
--- a/src/radishtrack/session/position.py
+++ b/src/radishtrack/session/position.py
@@ -59,7 +59,7 @@
 
 
 def is_contained(position: Position, term: int, history: History) -> bool:
-    """Tell whether the log of `term` contains a position.
+    """Return whether the log of `term` contains a position.
 
     Parameters
     ----------
--- a/tests/memory_store.py
+++ b/tests/memory_store.py
@@ -14,7 +14,7 @@
 
 
 class MemoryPlatform:
-    """Versioned objects; each write except of chunks consumes one of the faults.
+    """Versioned objects; each write that is not of a chunk consumes one of the faults.
 
     Faults: ``ok``, ``lost request`` (no effect, no response), ``lost answer`` (effect,
     no response), ``late`` (no response, effect before the next call).
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -66,10 +66,10 @@
 
 
 @pytest.mark.parametrize("large_service_ms", [SERVICE_MS, 8 * SERVICE_MS])
-def test_one_organisation_at_eight_times_its_rate_does_not_delay_the_small_ones(
+def test_one_organisation_far_above_its_rate_does_not_delay_the_small_ones(
     large_service_ms: float,
 ) -> None:
-    """Capacity is 800/s; seven organisations use 50/s each, one sends 400/s or more."""
+    """Capacity is 800/s; seven organisations use 50/s each, one sends 800/s."""
     queue = make_fair_queue(8)
     queue.set_weights({**dict.fromkeys(SMALL, 50.0), "large": 50.0})
     rates = {**dict.fromkeys(SMALL, 50.0), "large": 800.0}
--- a/tests/test_options.py
+++ b/tests/test_options.py
@@ -1,4 +1,4 @@
-"""Parsing of the options comment, and that no other text is taken for one."""
+"""Parsing of the options comment; other text is never parsed as options."""
 
 from __future__ import annotations
 
--- a/tests/test_rate_refusals.py
+++ b/tests/test_rate_refusals.py
@@ -1,8 +1,8 @@
 """Guards against refusals within the rate when demand moves between holders.
 
-``pytest -s tests/test_rate_refusals.py`` prints which fraction of the requests within
-the rate (those that one central bucket would admit) is refused, with tokens requested
-on demand and with equal fixed shares. Requests wait for up to `MAX_WAIT_MS`.
+``pytest -s tests/test_rate_refusals.py`` prints the fraction of the requests within
+the rate (those that one central bucket would admit) that is refused, with tokens
+requested on demand and with equal fixed shares. Requests wait for up to `MAX_WAIT_MS`.
 """
 
 from __future__ import annotations
@@ -141,6 +141,6 @@
 ) -> None:
     requested = measure_requested_tokens(pattern)
     fixed = measure_fixed_shares(pattern)
-    print(f"\n{pattern.__name__}: refused requested {requested:.4f}, fixed {fixed:.4f}")
+    print(f"\n{pattern.__name__}: refused {requested:.4f}, fixed shares {fixed:.4f}")
     assert requested <= max_requested
     assert fixed >= min_fixed
