--- a/src/radishtrack_standins/faults/__main__.py
+++ b/src/radishtrack_standins/faults/__main__.py
@@ -8,33 +8,37 @@
 import sys
 import time
 
+from radishtrack_standins.faults.deployment import (
+    Deployment,
+    close_deployment,
+    start_deployment,
+)
 from radishtrack_standins.faults.report import GUARANTEES, Report
 from radishtrack_standins.faults.scenarios import SCENARIOS, Scenario
-from radishtrack_standins.faults.world import World, close_world, start_world
 
 
-async def _run_warm(scenario: Scenario, world: World) -> None:
-    seconds = await world.warm_up()
+async def _run_warm(scenario: Scenario, deployment: Deployment) -> None:
+    seconds = await deployment.warm_up()
     if 7 in scenario.guarantees:
-        world.report.add_figure(7, "start until all are served", seconds, "s")
-    await scenario.run(world)
+        deployment.report.add_figure(7, "start until all are served", seconds, "s")
+    await scenario.run(deployment)
 
 
 def run_scenario(scenario: Scenario, report: Report, seed: int) -> None:
     """Run one scenario in a deployment of its own; its own failure is a finding."""
     report.scenario = scenario.name
     try:
-        world = start_world(
+        deployment = start_deployment(
             scenario.plan, report, seed, relays=scenario.relays, paths=scenario.paths
         )
         try:
-            asyncio.run(_run_warm(scenario, world))
-            if 7 not in scenario.guarantees and world.rate_refusals:
+            asyncio.run(_run_warm(scenario, deployment))
+            if 7 not in scenario.guarantees and deployment.rate_refusals:
                 # All other scenarios stay far within the rates.
-                count = world.rate_refusals.total()
+                count = deployment.rate_refusals.total()
                 report.add_figure(7, f"refused in {scenario.name!r}", count, "requests")
         finally:
-            close_world(world)
+            close_deployment(deployment)
     except Exception as error:
         for number in scenario.guarantees:
             report.add_requests(number, 0)
--- a/src/radishtrack_standins/faults/access.py
+++ b/src/radishtrack_standins/faults/access.py
@@ -7,10 +7,10 @@
 import time
 from typing import TYPE_CHECKING, Final
 
-from radishtrack_standins.faults.client import Answer, Client, Told
+from radishtrack_standins.faults.client import Client, ClientOutcome, StatementResult
 
 if TYPE_CHECKING:
-    from radishtrack_standins.faults.world import World
+    from radishtrack_standins.faults.deployment import Deployment
 
 REVOKED_LIMIT_S: Final = 4.0
 DENIED_CODE: Final = 1045
@@ -18,12 +18,15 @@
 REQUESTS_EACH: Final = 15
 
 
-async def present_keys(world: World) -> None:
+async def present_keys(deployment: Deployment) -> None:
     """Use keys with the right and wrong organisation, together and at once."""
-    await world.define_tables()
-    report, names = world.report, [n for n, _, _ in world.cluster.plan.organisations]
+    await deployment.create_tables()
+    report, names = (
+        deployment.report,
+        [n for n, _, _ in deployment.cluster.plan.organisations],
+    )
     first, second = names[:2]
-    keys, requests = world.cluster.keys, 0
+    keys, requests = deployment.cluster.keys, 0
     wrong = (
         (first, keys[second]),
         (second, keys[first]),
@@ -32,42 +35,42 @@
         (first, keys[first][:-1] + ("a" if keys[first][-1] != "a" else "b")),
         ("open", keys[first]),
     )
-    for proxy in world.cluster.proxies:
+    for proxy in deployment.cluster.proxies:
         for user, password in wrong:
-            client = Client(proxy, user, password, world.cluster.plan.database)
-            answer = await client.run("SELECT COUNT(*) FROM orders")
+            client = Client(proxy, user, password, deployment.cluster.plan.database)
+            result = await client.run("SELECT COUNT(*) FROM orders")
             requests += 1
-            report.require(4, not answer.ran, f"{user} with a wrong key was served")
+            report.require(4, not result.ran, f"{user} with a wrong key was served")
             client.drop()
-    requests += await _share_request_ids(world, names)
-    requests += await _use_open_routes(world)
+    requests += await _share_request_ids(deployment, names)
+    requests += await _use_open_routes(deployment)
     report.add_requests(4, requests)
 
 
-async def _share_request_ids(world: World, names: list[str]) -> int:
+async def _share_request_ids(deployment: Deployment, names: list[str]) -> int:
     """Let organisations use equal request IDs at once; the journal names them."""
 
     async def post(name: str, number: int) -> None:
-        client = world.client(number, name)
-        answer = await client.run(
+        client = deployment.create_client(number, name)
+        result = await client.run(
             f"/*radishtrack request_id=same-{number}*/ "
             f"INSERT INTO orders VALUES ('{name}-{number}', '{name}')"
         )
         client.drop()
-        world.report.require(4, answer.ran, f"request of {name} failed: {answer}")
+        deployment.report.require(4, result.ran, f"request of {name} failed: {result}")
 
     await asyncio.gather(
         *(post(name, n) for name in names for n in range(REQUESTS_EACH))
     )
-    journal = await world.rows("radishtrack_journal")
+    journal = await deployment.read_rows("radishtrack_journal")
     found = {(str(row[0]), str(row[1])) for row in journal}
     wanted = {(name, f"same-{n}") for name in names for n in range(REQUESTS_EACH)}
-    world.report.require(4, found == wanted, f"journal differs: {found ^ wanted}")
+    deployment.report.require(4, found == wanted, f"journal differs: {found ^ wanted}")
     return len(wanted)
 
 
-async def _use_open_routes(world: World) -> int:
-    report, database = world.report, world.cluster.plan.database
+async def _use_open_routes(deployment: Deployment) -> int:
+    report, database = deployment.report, deployment.cluster.plan.database
     statements = {
         "SELECT COUNT(*) FROM history": True,
         "SELECT COUNT(*) FROM orders": False,
@@ -76,24 +79,24 @@
         "INSERT INTO history VALUES (1, 'x')": False,
         "BEGIN": False,
     }
-    for proxy in world.cluster.proxies:
+    for proxy in deployment.cluster.proxies:
         for statement, allowed in statements.items():
             client = Client(proxy, "open", "", database)
-            answer = await client.run(statement)
+            result = await client.run(statement)
             client.drop()
             report.require(
-                4, answer.ran == allowed, f"open route, {statement!r}: {answer}"
+                4, result.ran == allowed, f"open route, {statement!r}: {result}"
             )
-    return len(statements) * len(world.cluster.proxies)
+    return len(statements) * len(deployment.cluster.proxies)
 
 
-async def send_keys(world: World) -> None:
+async def send_keys(deployment: Deployment) -> None:
     """Put keys where they could reach a database, then look at what members saw."""
-    await world.define_tables()
-    report, sent = world.report, 0
-    first, second = [name for name, _, _ in world.cluster.plan.organisations][:2]
-    keys = world.cluster.keys
-    for number in range(len(world.cluster.proxies)):
+    await deployment.create_tables()
+    report, sent = deployment.report, 0
+    first, second = [name for name, _, _ in deployment.cluster.plan.organisations][:2]
+    keys = deployment.cluster.keys
+    for number in range(len(deployment.cluster.proxies)):
         for text in (keys[first], keys[second], keys[first].upper()):
             for statement in (
                 f"INSERT INTO orders VALUES ('{text}', 'x')",
@@ -104,51 +107,54 @@
                 "INSERT INTO orders VALUES ('k', 'x')",
                 f"/*radishtrack session={text}*/ SELECT COUNT(*) FROM orders",
             ):
-                client = world.client(number, first)
+                client = deployment.create_client(number, first)
                 await client.run(statement)
                 sent += 1
                 client.drop()
     report.add_requests(5, sent)
-    for member in world.cluster.members:
-        seen = json.dumps(await world.ask_member(member, "/statements")).lower()
+    for member in deployment.cluster.members:
+        seen = json.dumps(await deployment.query_member(member, "/statements")).lower()
         for name, text in keys.items():
             report.require(5, text not in seen, f"{member} saw the key of {name}")
 
 
-def _is_denied(answer: Answer) -> bool:
-    return answer.code == DENIED_CODE or answer.told is Told.LOST
+def _is_denied(result: StatementResult) -> bool:
+    return result.code == DENIED_CODE or result.outcome is ClientOutcome.LOST
 
 
 async def _wait_refused(client: Client, statement: str, start: float) -> float:
     """Send a statement until it is refused; return the seconds since `start`."""
     while time.monotonic() - start < 3 * REVOKED_LIMIT_S:
-        answer = await client.run(statement)
-        if _is_denied(answer):
+        result = await client.run(statement)
+        if _is_denied(result):
             return time.monotonic() - start
         await asyncio.sleep(POLL_S)
     return float("inf")
 
 
-async def revoke(world: World) -> None:
+async def revoke(deployment: Deployment) -> None:
     """Revoke a key while it is used in every way at both proxies."""
-    await world.define_tables()
-    await _revoke(world, await _open_sessions(world))
+    await deployment.create_tables()
+    await _revoke(deployment, await _open_sessions(deployment))
 
 
-async def revoke_cut_off(world: World) -> None:
+async def revoke_cut_off(deployment: Deployment) -> None:
     """Revoke a key while one proxy is cut off from the platform."""
-    await world.define_tables()
-    sessions = await _open_sessions(world)
-    relay = world.platform_relays[1]
-    await world.control_relay(relay, cut_to_target=True, cut_from_target=True)
+    await deployment.create_tables()
+    sessions = await _open_sessions(deployment)
+    relay = deployment.platform_relays[1]
+    await deployment.control_relay(relay, cut_to_target=True, cut_from_target=True)
     await asyncio.sleep(1.0)
-    await _revoke(world, sessions)
+    await _revoke(deployment, sessions)
 
 
-async def _open_sessions(world: World) -> list[tuple[str, Client, str]]:
+async def _open_sessions(deployment: Deployment) -> list[tuple[str, Client, str]]:
     read, sessions = "SELECT COUNT(*) FROM orders", []
-    for number, proxy in enumerate(world.cluster.proxies):
-        busy, inside = world.client(number), world.client(number)
+    for number, proxy in enumerate(deployment.cluster.proxies):
+        busy, inside = (
+            deployment.create_client(number),
+            deployment.create_client(number),
+        )
         await busy.run(read)
         await inside.run("BEGIN")
         sessions.append((f"busy at {proxy.name}", busy, read))
@@ -156,17 +162,19 @@
     return sessions
 
 
-async def _revoke(world: World, sessions: list[tuple[str, Client, str]]) -> None:
-    report, name = world.report, world.cluster.plan.organisations[0][0]
-    slow = world.client(0)
+async def _revoke(
+    deployment: Deployment, sessions: list[tuple[str, Client, str]]
+) -> None:
+    report, name = deployment.report, deployment.cluster.plan.organisations[0][0]
+    slow = deployment.create_client(0)
     await slow.connect()
-    idle = world.client(1)
+    idle = deployment.create_client(1)
     await idle.run("SELECT COUNT(*) FROM orders")
-    key_id = world.cluster.keys[name].split("_")[1]
+    key_id = deployment.cluster.keys[name].split("_")[1]
     # Measured from before the command, so that the time is never too short.
     start = time.monotonic()
     done, *times = await asyncio.gather(
-        world.cli("keys", "revoke", name, key_id),
+        deployment.run_cli("keys", "revoke", name, key_id),
         *(_wait_refused(client, text, start) for _, client, text in sessions),
     )
     report.require(6, done.returncode == 0, f"revoke failed: {done.stderr[-200:]}")
@@ -176,13 +184,15 @@
         )
     report.add_figure(6, "worst time until refused", max(times), "s", REVOKED_LIMIT_S)
     await asyncio.sleep(max(0.0, start + REVOKED_LIMIT_S - time.monotonic()))
-    for number in range(len(world.cluster.proxies)):
-        answer = await world.client(number).run("SELECT COUNT(*) FROM orders")
+    for number in range(len(deployment.cluster.proxies)):
+        result = await deployment.create_client(number).run(
+            "SELECT COUNT(*) FROM orders"
+        )
         report.require(
-            6, answer.code == DENIED_CODE, f"new connection at p{number + 1}: {answer}"
+            6, result.code == DENIED_CODE, f"new connection at p{number + 1}: {result}"
         )
-    answer = await idle.run("SELECT COUNT(*) FROM orders")
-    report.require(6, _is_denied(answer), f"idle connection: {answer}")
-    report.add_requests(6, len(sessions) + len(world.cluster.proxies) + 1)
+    result = await idle.run("SELECT COUNT(*) FROM orders")
+    report.require(6, _is_denied(result), f"idle connection: {result}")
+    report.add_requests(6, len(sessions) + len(deployment.cluster.proxies) + 1)
     for _, client, _ in sessions:
         client.drop()
--- a/src/radishtrack_standins/faults/client.py
+++ b/src/radishtrack_standins/faults/client.py
@@ -29,7 +29,7 @@
 """Far over the request timeout, so that only a request that never ends exceeds it."""
 
 
-class Told(enum.Enum):
+class ClientOutcome(enum.Enum):
     """What a client knows about its request."""
 
     RAN = "ran"
@@ -38,14 +38,14 @@
     REJECTED = "rejected by the member"
     LOST = "connection lost"
     NOT_CONNECTED = "not connected"
-    SILENT = "no answer"
+    NO_RESPONSE = "no answer"
 
 
 @attrs.define(frozen=True)
-class Answer:
+class StatementResult:
     """Outcome of one statement."""
 
-    told: Told
+    outcome: ClientOutcome
     rows: tuple[tuple[Any, ...], ...] = ()
     code: int = 0
     message: str = ""
@@ -54,15 +54,19 @@
     @property
     def ran(self) -> bool:
         """Whether the request was acknowledged."""
-        return self.told is Told.RAN
+        return self.outcome is ClientOutcome.RAN
 
     @property
     def may_have_run(self) -> bool:
         """Whether the client can't tell."""
-        return self.told in (Told.UNKNOWN, Told.LOST, Told.SILENT)
+        return self.outcome in (
+            ClientOutcome.UNKNOWN,
+            ClientOutcome.LOST,
+            ClientOutcome.NO_RESPONSE,
+        )
 
     def __str__(self) -> str:
-        return f"{self.told.value} {self.code} {self.message}".strip()
+        return f"{self.outcome.value} {self.code} {self.message}".strip()
 
 
 @attrs.define
@@ -75,12 +79,12 @@
     database: str
     autocommit: bool = True
     connection: Any = None
-    waits_for_rate: bool = True
+    has_rate_retries: bool = True
     """Sends a statement again that was refused because of the rate."""
     rate_refusals: Counter[str] = attrs.field(factory=Counter)
     """Refusals because of the rate, by organisation."""
 
-    async def connect(self) -> Answer | None:
+    async def connect(self) -> StatementResult | None:
         """Open the connection; return the failure, if there is one."""
         if self.connection is not None:
             return None
@@ -97,22 +101,24 @@
         except (MySQLError, OSError, EOFError, TimeoutError) as error:
             code = error.args[0] if error.args else 0
             number = code if isinstance(code, int) else 0
-            return Answer(Told.NOT_CONNECTED, (), number, str(error)[:160])
+            return StatementResult(
+                ClientOutcome.NOT_CONNECTED, (), number, str(error)[:160]
+            )
         return None
 
-    async def run(self, statement: str) -> Answer:
+    async def run(self, statement: str) -> StatementResult:
         """Run one statement and return what the client was told."""
         end = time.monotonic() + RATE_PATIENCE_S
         while True:
-            answer = await self.run_once(statement)
-            if answer.code != OVER_RATE_CODE:
-                return answer
+            result = await self.run_once(statement)
+            if result.code != OVER_RATE_CODE:
+                return result
             self.rate_refusals[self.user] += 1
-            if not self.waits_for_rate or time.monotonic() > end:
-                return answer
+            if not self.has_rate_retries or time.monotonic() > end:
+                return result
             await asyncio.sleep(RATE_PAUSE_S)
 
-    async def run_once(self, statement: str) -> Answer:
+    async def run_once(self, statement: str) -> StatementResult:
         """Run one statement without another try."""
         failed = await self.connect()
         if failed is not None:
@@ -122,32 +128,38 @@
                 async with self.connection.cursor() as cursor:
                     affected = await cursor.execute(statement)
                     rows = await cursor.fetchall() if cursor.description else ()
-            return Answer(Told.RAN, tuple(rows), affected=int(affected or 0))
+            return StatementResult(
+                ClientOutcome.RAN, tuple(rows), affected=int(affected or 0)
+            )
         except TimeoutError:
             self.drop()
-            return Answer(Told.SILENT, message="no answer in time")
+            return StatementResult(
+                ClientOutcome.NO_RESPONSE, message="no answer in time"
+            )
         except (MySQLError, OSError, EOFError, asyncio.IncompleteReadError) as error:
             return self._describe(error)
 
-    def _describe(self, error: Exception) -> Answer:
+    def _describe(self, error: Exception) -> StatementResult:
         first = error.args[0] if error.args else 0
         code = first if isinstance(first, int) else 0
         message = str(error)[:160]
         is_client_code = FIRST_CLIENT_CODE <= code <= LAST_CLIENT_CODE
         if is_client_code or not code or not isinstance(error, MySQLError):
             self.drop()
-            return Answer(Told.LOST, (), code, message)
+            return StatementResult(ClientOutcome.LOST, (), code, message)
         if code == DRAINING_CODE:
             self.drop()
         if code in NOT_RUN_CODES:
-            return Answer(Told.NOT_RUN, (), code, message)
-        told = Told.UNKNOWN if code == UNKNOWN_CODE else Told.REJECTED
-        return Answer(told, (), code, message)
+            return StatementResult(ClientOutcome.NOT_RUN, (), code, message)
+        outcome = (
+            ClientOutcome.UNKNOWN if code == UNKNOWN_CODE else ClientOutcome.REJECTED
+        )
+        return StatementResult(outcome, (), code, message)
 
     async def read_token(self) -> str:
         """Return the session's token, or nothing if it can't be read."""
-        answer = await self.run("SHOW RADISHTRACK SESSION")
-        return str(answer.rows[0][0]) if answer.ran and answer.rows else ""
+        result = await self.run("SHOW RADISHTRACK SESSION")
+        return str(result.rows[0][0]) if result.ran and result.rows else ""
 
     def drop(self) -> None:
         """Close the connection at once, as a client that disappears."""
--- a/src/radishtrack_standins/faults/world.py
+++ b/src/radishtrack_standins/faults/deployment.py
@@ -42,7 +42,7 @@
 
 
 @attrs.define
-class World:
+class Deployment:
     """A running deployment, its report and its source of chance."""
 
     cluster: Cluster
@@ -54,7 +54,7 @@
     """Relays to the ports of the first primary, cut for single processes."""
     rate_refusals: Counter[str] = attrs.field(factory=Counter)
 
-    def client(
+    def create_client(
         self, number: int, organisation: str = "", *, autocommit: bool = True
     ) -> Client:
         """Return a client of a proxy, by number."""
@@ -62,7 +62,7 @@
         client.rate_refusals = self.rate_refusals
         return client
 
-    async def control(self, member: str, **switches: Any) -> None:
+    async def control_member(self, member: str, **switches: Any) -> None:
         """Set fault switches of a member."""
         await asyncio.to_thread(self.cluster.control_member, member, switches)
 
@@ -75,32 +75,32 @@
         url = f"http://{HOST}:{relay.ports['control_port']}/control"
         await asyncio.to_thread(call_json, "POST", url, switches)
 
-    async def primary(self) -> str:
+    async def read_primary(self) -> str:
         """Return the recorded primary."""
         return await asyncio.to_thread(self.cluster.primary)
 
-    async def rows(self, table: str) -> list[list[Any]]:
+    async def read_rows(self, table: str) -> list[list[Any]]:
         """Return a table's rows at the recorded primary."""
-        member = await self.primary()
+        member = await self.read_primary()
         return await asyncio.to_thread(self.cluster.read_rows, member, table)
 
-    async def ask_member(self, member: str, path: str) -> Any:
+    async def query_member(self, member: str, path: str) -> Any:
         """Return an observation of a member."""
         port = self.cluster.members[member].ports["control_port"]
         return await asyncio.to_thread(call_json, "GET", f"http://{HOST}:{port}{path}")
 
-    async def cli(self, *arguments: str) -> Any:
+    async def run_cli(self, *arguments: str) -> Any:
         """Run the command line tool."""
         url = self.cluster.platform_url
         return await asyncio.to_thread(
             self.cluster.run_cli, *arguments, "--platform", url
         )
 
-    async def wait_promoted(self, old: str, timeout_s: float = SETTLE_S) -> float:
+    async def wait_for_promotion(self, old: str, timeout_s: float = SETTLE_S) -> float:
         """Wait for another primary; return the seconds, or infinity."""
         start = time.monotonic()
         while time.monotonic() - start < timeout_s:
-            if await self.primary() != old:
+            if await self.read_primary() != old:
                 return time.monotonic() - start
             await asyncio.sleep(0.05)
         return float("inf")
@@ -116,20 +116,20 @@
         start = time.monotonic()
         for name, _, _ in self.cluster.plan.organisations:
             for number in range(len(self.cluster.proxies)):
-                client = self.client(number, name)
-                client.waits_for_rate = False
+                client = self.create_client(number, name)
+                client.has_rate_retries = False
                 client.rate_refusals = Counter()
                 served = 0
                 while served < WARM_STATEMENTS:
-                    answer = await client.run("SHOW TABLES")
-                    served = served + 1 if answer.ran else 0
+                    result = await client.run("SHOW TABLES")
+                    served = served + 1 if result.ran else 0
                     if time.monotonic() - start > SETTLE_S:
-                        raise RuntimeError(f"not served after the start: {answer}")
+                        raise RuntimeError(f"not served after the start: {result}")
                     await asyncio.sleep(0.05)
                 client.drop()
         return time.monotonic() - start
 
-    async def define_tables(self) -> None:
+    async def create_tables(self) -> None:
         """Create the tables through a proxy.
 
         Raises
@@ -137,22 +137,22 @@
         RuntimeError
             If that fails without any fault.
         """
-        owner = self.client(0)
+        owner = self.create_client(0)
         for statement in TABLES:
-            answer = await owner.run(statement)
-            if not answer.ran:
-                raise RuntimeError(f"definition failed: {answer}")
+            result = await owner.run(statement)
+            if not result.ran:
+                raise RuntimeError(f"definition failed: {result}")
         owner.drop()
 
 
-def start_world(
+def start_deployment(
     plan: ClusterPlan,
     report: Report,
     seed: int,
     *,
     relays: bool = False,
     paths: bool = False,
-) -> World:
+) -> Deployment:
     """Start a deployment.
 
     Parameters
@@ -172,7 +172,7 @@
     """
     for _ in range(START_TRIES):
         try:
-            return _start_once(plan, report, seed, relays, paths)
+            return _try_start(plan, report, seed, relays, paths)
         except RuntimeError as error:
             # The ports are free when they are chosen, and may be taken soon after.
             if ADDRESS_IN_USE not in str(error):
@@ -180,24 +180,26 @@
     raise RuntimeError("no free ports were found")
 
 
-def _start_once(
+def _try_start(
     plan: ClusterPlan, report: Report, seed: int, relays: bool, paths: bool
-) -> World:
+) -> Deployment:
     directory = Path(tempfile.mkdtemp(prefix="radishtrack-faults-"))
     platform = start_standin("platform", f"--vm-list-lag-ms={plan.vm_list_lag_ms}")
     cluster = Cluster(plan, directory, platform, {}, [])
-    world = World(cluster, report, random.Random(seed))
+    deployment = Deployment(cluster, report, random.Random(seed))
     try:
-        _start_members(world, relays and not paths, paths)
-        _prepare(world, relays)
+        _start_members_and_relays(deployment, relays and not paths, paths)
+        _configure_and_start_proxies(deployment, relays)
     except BaseException:
-        close_world(world)
+        close_deployment(deployment)
         raise
-    return world
+    return deployment
 
 
-def _start_members(world: World, relays: bool, paths: bool) -> None:
-    cluster = world.cluster
+def _start_members_and_relays(
+    deployment: Deployment, relays: bool, paths: bool
+) -> None:
+    cluster = deployment.cluster
     for number in range(1, cluster.plan.members + 1):
         name = f"m{number}"
         arguments = member_arguments(cluster.plan, cluster.directory, name)
@@ -210,16 +212,16 @@
                 relay = start_standin(
                     "faults.paths", f"--target={HOST}:{member.ports[kind]}"
                 )
-                world.paths.append(relay)
+                deployment.paths.append(relay)
                 member.ports[kind] = relay.ports["port"]
         if relays:
             target = f"{HOST}:{member.ports['admin_port']}"
-            world.admin_relays[name] = start_standin("relay", f"--target={target}")
-            member.ports["admin_port"] = world.admin_relays[name].ports["port"]
+            deployment.admin_relays[name] = start_standin("relay", f"--target={target}")
+            member.ports["admin_port"] = deployment.admin_relays[name].ports["port"]
 
 
-def _prepare(world: World, relays: bool) -> None:
-    cluster = world.cluster
+def _configure_and_start_proxies(deployment: Deployment, relays: bool) -> None:
+    cluster = deployment.cluster
     cluster.call_platform(
         "PUT",
         f"/objects/groups/{cluster.plan.database}",
@@ -236,7 +238,7 @@
         if relays:
             target = f"{HOST}:{cluster.platform.ports['port']}"
             relay = start_standin("relay", f"--target={target}")
-            world.platform_relays.append(relay)
+            deployment.platform_relays.append(relay)
             url = f"http://{HOST}:{relay.ports['port']}"
             text = proxy.settings.read_text().replace(cluster.platform_url, url)
             proxy.settings.write_text(text)
@@ -245,10 +247,14 @@
     wait_ready(cluster)
 
 
-def close_world(world: World) -> None:
+def close_deployment(deployment: Deployment) -> None:
     """End all processes and remove the scenario's files."""
-    world.cluster.close()
-    relays = (*world.admin_relays.values(), *world.platform_relays, *world.paths)
+    deployment.cluster.close()
+    relays = (
+        *deployment.admin_relays.values(),
+        *deployment.platform_relays,
+        *deployment.paths,
+    )
     for relay in relays:
         relay.stop()
-    shutil.rmtree(world.cluster.directory, ignore_errors=True)
+    shutil.rmtree(deployment.cluster.directory, ignore_errors=True)
--- a/src/radishtrack_standins/faults/rates.py
+++ b/src/radishtrack_standins/faults/rates.py
@@ -8,10 +8,10 @@
 
 import attrs
 
-from radishtrack_standins.faults.client import Told
+from radishtrack_standins.faults.client import ClientOutcome
 
 if TYPE_CHECKING:
-    from radishtrack_standins.faults.world import World
+    from radishtrack_standins.faults.deployment import Deployment
 
 RATE: Final = 50.0
 BURST: Final = 50
@@ -58,63 +58,67 @@
     return worst
 
 
-async def overload(world: World) -> None:
+async def overload(deployment: Deployment) -> None:
     """Send 8 times the rate through both proxies beside a quiet organisation."""
-    await world.define_tables()
-    busy, quiet = [name for name, _, _ in world.cluster.plan.organisations][:2]
+    await deployment.create_tables()
+    busy, quiet = [name for name, _, _ in deployment.cluster.plan.organisations][:2]
     admitted: list[Interval] = []
-    told: dict[str, tuple[Told, int, str]] = {}
+    outcomes: dict[str, tuple[ClientOutcome, int, str]] = {}
     quiet_refused: list[str] = []
     end = time.monotonic() + RUN_S
     # The tables were made under the same rate.
     await asyncio.sleep(BURST / RATE)
 
     async def send(number: int) -> None:
-        client, turn = world.client(number, busy), 0
-        client.waits_for_rate = False
+        client, turn = deployment.create_client(number, busy), 0
+        client.has_rate_retries = False
         due = time.monotonic()
         while time.monotonic() < end:
             turn += 1
             name = f"rate-{number}-{turn}"
             started = time.monotonic()
-            answer = await client.run(
+            result = await client.run(
                 f"/*radishtrack timeout_ms={TIMEOUT_MS}*/ "
                 f"INSERT INTO orders VALUES ('{name}', 'x')"
             )
-            told[name] = (answer.told, answer.code, str(answer))
-            if answer.ran:
+            outcomes[name] = (result.outcome, result.code, str(result))
+            if result.ran:
                 admitted.append(Interval(started, time.monotonic()))
             due += SENDERS / (OVERLOAD * RATE)
             await asyncio.sleep(max(0.0, due - time.monotonic()))
         client.drop()
 
     async def stay_quiet(number: int) -> None:
-        client = world.client(number, quiet)
-        client.waits_for_rate = False
+        client = deployment.create_client(number, quiet)
+        client.has_rate_retries = False
         while time.monotonic() < end:
-            answer = await client.run("SELECT COUNT(*) FROM orders")
-            if answer.code == OVER_RATE_CODE:
-                quiet_refused.append(str(answer))
+            result = await client.run("SELECT COUNT(*) FROM orders")
+            if result.code == OVER_RATE_CODE:
+                quiet_refused.append(str(result))
             await asyncio.sleep(2 / QUIET_RATE)
         client.drop()
 
     started = time.monotonic()
     tasks = [send(number) for number in range(SENDERS)]
     await asyncio.gather(*tasks, stay_quiet(0), stay_quiet(1))
-    await _judge(world, admitted, told, time.monotonic() - started)
-    report = world.report
+    await _judge(deployment, admitted, outcomes, time.monotonic() - started)
+    report = deployment.report
     report.add_figure(7, "quiet organisation refused", len(quiet_refused), "requests")
 
 
 async def _judge(
-    world: World,
+    deployment: Deployment,
     admitted: list[Interval],
-    told: dict[str, tuple[Told, int, str]],
+    outcomes: dict[str, tuple[ClientOutcome, int, str]],
     took_s: float,
 ) -> None:
-    report = world.report
-    rows = {str(row[0]) for row in await world.rows("orders")}
-    ran = {name for name, (result, _, _) in told.items() if result is Told.RAN}
+    report = deployment.report
+    rows = {str(row[0]) for row in await deployment.read_rows("orders")}
+    ran = {
+        name
+        for name, (outcome, _, _) in outcomes.items()
+        if outcome is ClientOutcome.RAN
+    }
     excess, count, bound = find_worst_excess(admitted, RATE, BURST)
     report.require(
         7, excess <= 0, f"admitted {count}, allowed {bound:.0f} in the worst interval"
@@ -127,8 +131,8 @@
     report.add_figure(7, "share of the allowed", len(rows) / total_bound, "")
     report.require(7, ran <= rows, "acknowledged requests are missing")
     report.require(7, rows, "nothing was admitted")
-    report.add_requests(7, len(told))
-    report.add_requests(9, len(told))
-    for name, (result, _, text) in told.items():
-        if result is Told.NOT_RUN and name in rows:
+    report.add_requests(7, len(outcomes))
+    report.add_requests(9, len(outcomes))
+    for name, (outcome, _, text) in outcomes.items():
+        if outcome is ClientOutcome.NOT_RUN and name in rows:
             report.add_problem(9, f"{name} ran although told: {text}")
--- a/src/radishtrack_standins/faults/report.py
+++ b/src/radishtrack_standins/faults/report.py
@@ -35,7 +35,7 @@
     limit: float | None = None
 
     @property
-    def exceeded(self) -> bool:
+    def is_over_limit(self) -> bool:
         """Whether the figure is over its limit."""
         return self.limit is not None and self.value > self.limit
 
@@ -57,14 +57,16 @@
     @property
     def passed(self) -> bool:
         """Whether something was driven and nothing spoke against the guarantee."""
-        exceeded = any(figure.exceeded for figure in self.figures.values())
+        is_over_limit = any(figure.is_over_limit for figure in self.figures.values())
         return (
-            bool(self.driven and self.requests) and not self.problems and not exceeded
+            bool(self.driven and self.requests)
+            and not self.problems
+            and not is_over_limit
         )
 
     def describe(self) -> str:
         """Return the line that is printed."""
-        reasons = [str(f) for f in self.figures.values() if f.exceeded]
+        reasons = [str(f) for f in self.figures.values() if f.is_over_limit]
         reasons += self.problems[:SHOWN_PROBLEMS]
         hidden = len(self.problems) - SHOWN_PROBLEMS
         if hidden > 0:
@@ -72,7 +74,9 @@
         if not self.driven or not self.requests:
             reasons.append("nothing was driven")
         verdict = "PASS" if self.passed else f"FAIL ({'; '.join(reasons)})"
-        figures = ", ".join(str(f) for f in self.figures.values() if not f.exceeded)
+        figures = ", ".join(
+            str(f) for f in self.figures.values() if not f.is_over_limit
+        )
         return (
             f"{self.number:2} {GUARANTEES[self.number]}: {', '.join(self.driven)}; "
             f"{self.requests} requests; {verdict}" + (f"; {figures}" if figures else "")
--- a/src/radishtrack_standins/faults/scenarios.py
+++ b/src/radishtrack_standins/faults/scenarios.py
@@ -17,7 +17,7 @@
     stop,
     transactions,
 )
-from radishtrack_standins.faults.world import World
+from radishtrack_standins.faults.deployment import Deployment
 
 
 @attrs.define(frozen=True)
@@ -26,7 +26,7 @@
 
     name: str
     guarantees: tuple[int, ...]
-    run: Callable[[World], Coroutine[Any, Any, None]]
+    run: Callable[[Deployment], Coroutine[Any, Any, None]]
     plan: ClusterPlan = attrs.field(factory=ClusterPlan)
     relays: bool = False
     paths: bool = False
--- a/src/radishtrack_standins/faults/stop.py
+++ b/src/radishtrack_standins/faults/stop.py
@@ -9,15 +9,19 @@
 
 import attrs
 
-from radishtrack_standins.faults.client import Answer, Client, Told
+from radishtrack_standins.faults.client import Client, ClientOutcome, StatementResult
 
 if TYPE_CHECKING:
-    from radishtrack_standins.faults.world import World
+    from radishtrack_standins.faults.deployment import Deployment
 
 WORKERS: Final = 12
 DRAINING_CODE: Final = 9006
 EXIT_TIMEOUT_S: Final = 25.0
-INTERRUPTED: Final = (Told.LOST, Told.UNKNOWN, Told.SILENT)
+INTERRUPTED: Final = (
+    ClientOutcome.LOST,
+    ClientOutcome.UNKNOWN,
+    ClientOutcome.NO_RESPONSE,
+)
 
 
 @attrs.define
@@ -29,27 +33,28 @@
     interrupted: list[str] = attrs.field(factory=list)
     requests: int = 0
 
-    def note(self, name: str, answer: Answer) -> None:
+    def record(self, name: str, result: StatementResult) -> None:
         """Take down an answer."""
         self.requests += 1
-        if answer.told in INTERRUPTED:
-            self.interrupted.append(f"{name}: {answer}")
-        elif answer.ran:
+        if result.outcome in INTERRUPTED:
+            self.interrupted.append(f"{name}: {result}")
+        elif result.ran:
             self.ran.add(name)
         else:
-            self.not_run[name] = str(answer)
+            self.not_run[name] = str(result)
 
 
-async def stop_under_load(world: World) -> None:
+async def stop_under_load(deployment: Deployment) -> None:
     """Stop a proxy with SIGTERM while it works in every way."""
-    await world.define_tables()
-    report, ledger, ending = world.report, StopLedger(), asyncio.Event()
-    proxy = world.cluster.proxies[1]
+    await deployment.create_tables()
+    report, ledger, ending = deployment.report, StopLedger(), asyncio.Event()
+    proxy = deployment.cluster.proxies[1]
     tasks = [
-        asyncio.create_task(_load(world, n, ledger, ending)) for n in range(WORKERS)
+        asyncio.create_task(_load(deployment, n, ledger, ending))
+        for n in range(WORKERS)
     ]
-    slow = asyncio.create_task(_run_slowly(world, ledger))
-    inside, idle = world.client(1), world.client(1)
+    slow = asyncio.create_task(_run_slowly(deployment, ledger))
+    inside, idle = deployment.create_client(1), deployment.create_client(1)
     begun = await inside.run("BEGIN")
     report.require(12, begun.ran, f"transaction before the stop: {begun}")
     await idle.run("SELECT COUNT(*) FROM orders")
@@ -75,12 +80,12 @@
     report.add_figure(12, "interrupted", len(ledger.interrupted), "requests", 0)
     for text in ledger.interrupted:
         report.add_problem(12, text)
-    await _judge(world, ledger)
+    await _judge(deployment, ledger)
 
 
-async def _judge(world: World, ledger: StopLedger) -> None:
-    report = world.report
-    rows = {str(row[0]) for row in await world.rows("orders")}
+async def _judge(deployment: Deployment, ledger: StopLedger) -> None:
+    report = deployment.report
+    rows = {str(row[0]) for row in await deployment.read_rows("orders")}
     names = {name for name in ledger.ran if not name.startswith("read")}
     report.require(12, names <= rows, f"acknowledged and missing: {names - rows}")
     report.add_requests(9, ledger.requests)
@@ -89,25 +94,25 @@
 
 
 async def _load(
-    world: World, number: int, ledger: StopLedger, ending: asyncio.Event
+    deployment: Deployment, number: int, ledger: StopLedger, ending: asyncio.Event
 ) -> None:
-    client = world.client(number)
+    client = deployment.create_client(number)
     for turn in itertools.count():
         if ending.is_set():
             break
         name = f"stop-{number}-{turn}"
-        answer = await client.run(f"INSERT INTO orders VALUES ('{name}', 'x')")
-        ledger.note(name, answer)
+        result = await client.run(f"INSERT INTO orders VALUES ('{name}', 'x')")
+        ledger.record(name, result)
         if client.connection is None:
             # A load balancer sends the next connection to the other proxy.
-            client = world.client(0)
+            client = deployment.create_client(0)
     client.drop()
 
 
-async def _run_slowly(world: World, ledger: StopLedger) -> None:
-    client = world.client(1)
+async def _run_slowly(deployment: Deployment, ledger: StopLedger) -> None:
+    client = deployment.create_client(1)
     await asyncio.sleep(0.6)
-    ledger.note(
+    ledger.record(
         "read-slow", await client.run("SELECT SLEEP(2), id FROM orders LIMIT 1")
     )
     client.drop()
@@ -116,11 +121,11 @@
 async def _end_transaction(client: Client, ledger: StopLedger) -> None:
     for number in range(3):
         name = f"inside-{number}"
-        ledger.note(
+        ledger.record(
             name, await client.run(f"INSERT INTO orders VALUES ('{name}', 'inside')")
         )
         await asyncio.sleep(0.2)
-    answer = await client.run("COMMIT")
-    ledger.note("read-commit", answer)
-    if not answer.ran:
-        ledger.interrupted.append(f"transaction open at the stop: {answer}")
+    result = await client.run("COMMIT")
+    ledger.record("read-commit", result)
+    if not result.ran:
+        ledger.interrupted.append(f"transaction open at the stop: {result}")
--- a/src/radishtrack_standins/faults/transactions.py
+++ b/src/radishtrack_standins/faults/transactions.py
@@ -9,10 +9,10 @@
 
 import attrs
 
-from radishtrack_standins.faults.client import Answer, Client, Told
+from radishtrack_standins.faults.client import Client, ClientOutcome, StatementResult
 
 if TYPE_CHECKING:
-    from radishtrack_standins.faults.world import World
+    from radishtrack_standins.faults.deployment import Deployment
 
 CLIENTS: Final = 6
 RUN_S: Final = 5.0
@@ -39,12 +39,12 @@
         ledger.not_committed[tag] = str(begun)
         return
     for number in range(ROWS_EACH):
-        answer = await client.run(
+        result = await client.run(
             f"INSERT INTO orders (id, organisation) VALUES ('{tag}-{number}', '{tag}')"
         )
         ledger.statements += 1
-        if not answer.ran:
-            ledger.not_committed[tag] = str(answer)
+        if not result.ran:
+            ledger.not_committed[tag] = str(result)
             if client.connection is not None:
                 await client.run("ROLLBACK")
             return
@@ -57,32 +57,34 @@
         await client.run("ROLLBACK")
         ledger.not_committed[tag] = "rolled back by the client"
         return
-    _note_commit(ledger, tag, await client.run("COMMIT"))
+    _record_commit(ledger, tag, await client.run("COMMIT"))
 
 
 async def _check_own_rows(client: Client, tag: str, ledger: TransactionLedger) -> None:
-    answer = await client.run(
+    result = await client.run(
         f"SELECT organisation, COUNT(*) FROM orders WHERE organisation = '{tag}' "
         "GROUP BY organisation"
     )
     ledger.statements += 1
-    if answer.ran and [str(v) for v in answer.rows[0]] != [tag, str(ROWS_EACH)]:
-        ledger.seen_foreign.append(f"{tag} saw {answer.rows}")
+    if result.ran and [str(v) for v in result.rows[0]] != [tag, str(ROWS_EACH)]:
+        ledger.seen_foreign.append(f"{tag} saw {result.rows}")
 
 
-def _note_commit(ledger: TransactionLedger, tag: str, answer: Answer) -> None:
-    if answer.ran:
+def _record_commit(
+    ledger: TransactionLedger, tag: str, result: StatementResult
+) -> None:
+    if result.ran:
         ledger.committed.add(tag)
-    elif answer.may_have_run:
+    elif result.may_have_run:
         ledger.unknown.add(tag)
     else:
-        ledger.not_committed[tag] = str(answer)
+        ledger.not_committed[tag] = str(result)
 
 
-async def judge(world: World, ledger: TransactionLedger) -> None:
+async def judge(deployment: Deployment, ledger: TransactionLedger) -> None:
     """Compare the ledger with the rows of the recorded primary."""
-    report = world.report
-    counts = Counter(str(row[1]) for row in await world.rows("orders"))
+    report = deployment.report
+    counts = Counter(str(row[1]) for row in await deployment.read_rows("orders"))
     report.add_requests(3, ledger.statements)
     for text in ledger.seen_foreign:
         report.add_problem(3, text)
@@ -91,50 +93,50 @@
     for tag in sorted(ledger.committed - counts.keys()):
         report.add_problem(2, f"acknowledged transaction {tag} is missing")
     for tag in sorted(ledger.not_committed.keys() & counts.keys()):
-        told = ledger.not_committed[tag]
-        report.add_problem(3, f"{tag} has rows although told: {told}")
+        reported = ledger.not_committed[tag]
+        report.add_problem(3, f"{tag} has rows although told: {reported}")
     report.require(3, len(ledger.committed) > CLIENTS, "too few transactions ended")
 
 
-async def mix(world: World, number: int, ledger: TransactionLedger) -> None:
+async def mix(deployment: Deployment, number: int, ledger: TransactionLedger) -> None:
     """Run transactions of one client until the time is over."""
-    client = world.client(number)
+    client = deployment.create_client(number)
     end = asyncio.get_running_loop().time() + RUN_S
     attempt = 0
     while asyncio.get_running_loop().time() < end:
         attempt += 1
         await run_transaction(client, f"t{number}-{attempt}", ledger)
         if client.connection is None:
-            client = world.client(number + attempt)
-        await asyncio.sleep(world.random.uniform(0, 0.02))
+            client = deployment.create_client(number + attempt)
+        await asyncio.sleep(deployment.random.uniform(0, 0.02))
     client.drop()
 
 
-async def kill_proxy(world: World) -> None:
+async def kill_proxy(deployment: Deployment) -> None:
     """Kill a proxy in the middle of transactions, and start it again."""
-    await world.define_tables()
+    await deployment.create_tables()
     ledger = TransactionLedger()
-    tasks = [asyncio.create_task(mix(world, n, ledger)) for n in range(CLIENTS)]
+    tasks = [asyncio.create_task(mix(deployment, n, ledger)) for n in range(CLIENTS)]
     await asyncio.sleep(1.0)
-    open_client = world.client(1)
+    open_client = deployment.create_client(1)
     await open_client.run("BEGIN")
     await open_client.run("INSERT INTO orders VALUES ('open-0', 'open')")
     ledger.not_committed["open"] = "its proxy died before the commit"
-    await asyncio.to_thread(world.cluster.proxies[1].kill)
+    await asyncio.to_thread(deployment.cluster.proxies[1].kill)
     await asyncio.sleep(1.0)
-    world.cluster.proxies[1].start()
+    deployment.cluster.proxies[1].start()
     await asyncio.gather(*tasks)
     await asyncio.sleep(SETTLE_S)
-    await judge(world, ledger)
+    await judge(deployment, ledger)
 
 
-async def pause_proxy_at_commit(world: World) -> None:
+async def pause_proxy_at_commit(deployment: Deployment) -> None:
     """Pause a proxy between commit and answer, and resume it after a promotion."""
-    await world.define_tables()
-    report = world.report
-    old = await world.primary()
-    await world.control(old, delay_ms=150)
-    writers = [world.client(0) for _ in range(4)]
+    await deployment.create_tables()
+    report = deployment.report
+    old = await deployment.read_primary()
+    await deployment.control_member(old, delay_ms=150)
+    writers = [deployment.create_client(0) for _ in range(4)]
     for writer in writers:
         await writer.connect()
     tasks = [
@@ -143,21 +145,21 @@
         )
         for number, writer in enumerate(writers)
     ]
-    await asyncio.sleep(0.1 + 0.2 * world.random.random())
-    world.cluster.proxies[0].signal(signal.SIGSTOP)
-    await asyncio.to_thread(world.cluster.members[old].kill)
-    promoted_s = await world.wait_promoted(old)
+    await asyncio.sleep(0.1 + 0.2 * deployment.random.random())
+    deployment.cluster.proxies[0].signal(signal.SIGSTOP)
+    await asyncio.to_thread(deployment.cluster.members[old].kill)
+    promoted_s = await deployment.wait_for_promotion(old)
     await asyncio.sleep(0.5)
-    world.cluster.proxies[0].signal(signal.SIGCONT)
+    deployment.cluster.proxies[0].signal(signal.SIGCONT)
     report.add_figure(2, "change of primary with a paused proxy", promoted_s, "s", 7.0)
-    answers = await asyncio.gather(*tasks)
+    results = await asyncio.gather(*tasks)
     await asyncio.sleep(1.0)
-    rows = {str(row[0]) for row in await world.rows("orders")}
-    report.add_requests(2, len(answers))
-    report.add_requests(9, len(answers))
-    for number, answer in enumerate(answers):
+    rows = {str(row[0]) for row in await deployment.read_rows("orders")}
+    report.add_requests(2, len(results))
+    report.add_requests(9, len(results))
+    for number, result in enumerate(results):
         row = f"paused-{number}"
-        if answer.ran:
+        if result.ran:
             report.require(2, row in rows, f"{row} acknowledged and missing")
-        if answer.told in (Told.NOT_RUN, Told.REJECTED):
-            report.require(9, row not in rows, f"{row} ran although told: {answer}")
+        if result.outcome in (ClientOutcome.NOT_RUN, ClientOutcome.REJECTED):
+            report.require(9, row not in rows, f"{row} ran although told: {result}")
--- a/src/radishtrack_standins/faults/work.py
+++ b/src/radishtrack_standins/faults/work.py
@@ -10,11 +10,11 @@
 
 import attrs
 
-from radishtrack_standins.faults.client import Answer, Client, Told
+from radishtrack_standins.faults.client import Client, ClientOutcome, StatementResult
 
 if TYPE_CHECKING:
+    from radishtrack_standins.faults.deployment import Deployment
     from radishtrack_standins.faults.report import Report
-    from radishtrack_standins.faults.world import World
 
 PAUSE_S: Final = 0.03
 RECEIPT_TRIES: Final = 4
@@ -26,7 +26,7 @@
 
     acknowledged: dict[str, float] = attrs.field(factory=dict)
     """Bookings and the times in seconds of their acknowledgement."""
-    not_run: dict[str, Answer] = attrs.field(factory=dict)
+    not_run: dict[str, StatementResult] = attrs.field(factory=dict)
     unknown: set[str] = attrs.field(factory=set)
     receipts: set[str] = attrs.field(factory=set)
     tried_receipts: set[str] = attrs.field(factory=set)
@@ -38,11 +38,11 @@
     successes: list[float] = attrs.field(factory=list)
     read_times: list[float] = attrs.field(factory=list)
 
-    def note(self, kind: str, answer: Answer) -> None:
+    def record(self, kind: str, result: StatementResult) -> None:
         """Count an answer."""
         self.requests += 1
-        self.outcomes[kind, answer.told.value] += 1
-        if answer.told is Told.SILENT:
+        self.outcomes[kind, result.outcome.value] += 1
+        if result.outcome is ClientOutcome.NO_RESPONSE:
             self.silent.append(kind)
 
 
@@ -50,7 +50,7 @@
 class Worker:
     """One employee who works through changing proxies with a session token."""
 
-    world: World
+    deployment: Deployment
     number: int
     ledger: Ledger
     organisation: str
@@ -63,29 +63,35 @@
         if self.client is not None:
             self.client.drop()
         self.moves += 1
-        self.client = self.world.client(self.number + self.moves, self.organisation)
+        self.client = self.deployment.create_client(
+            self.number + self.moves, self.organisation
+        )
         return self.client
 
-    async def run(self, kind: str, statement: str) -> Answer:
+    async def run(self, kind: str, statement: str) -> StatementResult:
         """Run a statement; move to the other proxy if the connection failed."""
         client = self.client or self.move()
-        answer = await client.run(statement)
-        self.ledger.note(kind, answer)
+        result = await client.run(statement)
+        self.ledger.record(kind, result)
         if client.connection is None:
             self.move()
-        return answer
+        return result
 
     async def book(self, order: str) -> None:
         """Book an order, read it back, post its receipt."""
-        answer = await self.run(
+        result = await self.run(
             "booking",
             f"INSERT INTO orders (id, organisation) "
             f"VALUES ('{order}', '{self.organisation}')",
         )
-        if not answer.ran:
-            known = answer.told in (Told.NOT_RUN, Told.NOT_CONNECTED, Told.REJECTED)
+        if not result.ran:
+            known = result.outcome in (
+                ClientOutcome.NOT_RUN,
+                ClientOutcome.NOT_CONNECTED,
+                ClientOutcome.REJECTED,
+            )
             if known:
-                self.ledger.not_run[order] = answer
+                self.ledger.not_run[order] = result
             else:
                 self.ledger.unknown.add(order)
             return
@@ -103,25 +109,25 @@
 
     async def check_read(self, order: str, kind: str, prefix: str) -> None:
         """Read the order back; without it the read was stale."""
-        answer = await self.run(
+        result = await self.run(
             f"{kind} read", f"{prefix}SELECT id FROM orders WHERE id = '{order}'"
         )
         self.ledger.reads += 1
-        if answer.ran:
+        if result.ran:
             self.ledger.read_times.append(time.monotonic())
-            if answer.rows != ((order,),):
-                self.ledger.stale.append(f"{kind} read of {order}: {answer.rows}")
+            if result.rows != ((order,),):
+                self.ledger.stale.append(f"{kind} read of {order}: {result.rows}")
 
     async def post_receipt(self, order: str) -> None:
         """Post a receipt under a request ID, and repeat it while not acknowledged."""
         self.ledger.tried_receipts.add(order)
         for number in range(RECEIPT_TRIES):
-            answer = await self.run(
+            result = await self.run(
                 "receipt",
                 f"/*radishtrack request_id=receipt-{order}*/ "
                 f"INSERT INTO receipts (order_id) VALUES ('{order}')",
             )
-            if answer.ran:
+            if result.ran:
                 self.ledger.receipts.add(order)
                 if number:
                     return
@@ -138,17 +144,17 @@
         worker.client.drop()
 
 
-def compute_gap_s(moments: list[float], start: float, end: float) -> float:
+def compute_longest_gap_s(moments: list[float], start: float, end: float) -> float:
     """Return the longest time without a success between two moments, in seconds."""
     inside = sorted(moment for moment in moments if start < moment < end)
     return max(b - a for a, b in itertools.pairwise([start, *inside, end]))
 
 
-async def judge(world: World, ledger: Ledger) -> None:
+async def judge(deployment: Deployment, ledger: Ledger) -> None:
     """Compare the ledger with the rows of the recorded primary."""
-    report = world.report
-    rows = {str(row[0]) for row in await world.rows("orders")}
-    receipts = Counter(str(row[1]) for row in await world.rows("receipts"))
+    report = deployment.report
+    rows = {str(row[0]) for row in await deployment.read_rows("orders")}
+    receipts = Counter(str(row[1]) for row in await deployment.read_rows("receipts"))
     _judge_bookings(report, ledger, rows)
     report.add_requests(10, sum(receipts.values()))
     for order, count in receipts.items():
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -14,7 +14,7 @@
 from radishtrack_standins.faults.rates import Interval, find_worst_excess
 from radishtrack_standins.faults.report import Report
 from radishtrack_standins.faults.scenarios import SCENARIOS
-from radishtrack_standins.faults.work import compute_gap_s
+from radishtrack_standins.faults.work import compute_longest_gap_s
 
 SEED = 7
 QUICK = (
@@ -64,4 +64,4 @@
 def test_gap_counts_from_the_fault_to_the_end() -> None:
     """A service that never returns must show as a gap up to the end of the run."""
     now = time.monotonic()
-    assert compute_gap_s([now - 1, now + 1], now, now + 9) == pytest.approx(8.0)
+    assert compute_longest_gap_s([now - 1, now + 1], now, now + 9) == pytest.approx(8.0)
