--- a/src/radishtrack_standins/faults/__init__.py
+++ b/src/radishtrack_standins/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Drives process-level faults against running proxies and judges the guarantees."""
+"""Injects process-level faults into running proxies and checks the guarantees."""
--- a/src/radishtrack_standins/faults/__main__.py
+++ b/src/radishtrack_standins/faults/__main__.py
@@ -17,7 +17,7 @@
 from radishtrack_standins.faults.scenarios import SCENARIOS, Scenario
 
 
-async def _run_warm(scenario: Scenario, deployment: Deployment) -> None:
+async def _warm_up_and_run(scenario: Scenario, deployment: Deployment) -> None:
     seconds = await deployment.warm_up()
     if 7 in scenario.guarantees:
         deployment.report.add_figure(7, "start until all are served", seconds, "s")
@@ -25,16 +25,20 @@
 
 
 def run_scenario(scenario: Scenario, report: Report, seed: int) -> None:
-    """Run one scenario in a deployment of its own; its own failure is a finding."""
+    """Run one scenario in its own deployment; an exception is recorded as a problem."""
     report.scenario = scenario.name
     try:
         deployment = start_deployment(
-            scenario.plan, report, seed, relays=scenario.relays, paths=scenario.paths
+            scenario.plan,
+            report,
+            seed,
+            needs_relays=scenario.needs_relays,
+            needs_paths=scenario.needs_paths,
         )
         try:
-            asyncio.run(_run_warm(scenario, deployment))
+            asyncio.run(_warm_up_and_run(scenario, deployment))
             if 7 not in scenario.guarantees and deployment.rate_refusals:
-                # All other scenarios stay far within the rates.
+                # The other scenarios stay far within the rates, so none is expected.
                 count = deployment.rate_refusals.total()
                 report.add_figure(7, f"refused in {scenario.name!r}", count, "requests")
         finally:
@@ -46,28 +50,31 @@
 
 
 def run_all(seed: int, only: int | None, scenario: str | None) -> Report:
-    """Run all scenarios that concern the wanted guarantees."""
+    """Run the scenarios that test guarantee `only` or have the name `scenario`.
+
+    Without either, run all of them.
+    """
     report = Report()
     for candidate in SCENARIOS:
         if only is not None and only not in candidate.guarantees:
             continue
         if scenario is not None and scenario != candidate.name:
             continue
-        started = time.monotonic()
+        started_s = time.monotonic()
         run_scenario(candidate, report, seed)
-        took_s = time.monotonic() - started
-        print(f"# {candidate.name}: {took_s:.1f} s", file=sys.stderr, flush=True)
+        elapsed_s = time.monotonic() - started_s
+        print(f"# {candidate.name}: {elapsed_s:.1f} s", file=sys.stderr, flush=True)
     return report
 
 
-def to_json(report: Report, numbers: list[int]) -> str:
-    """Return the report as one JSON value."""
+def format_json(report: Report, numbers: list[int]) -> str:
+    """Format the results of these guarantees as a JSON list."""
     return json.dumps(
         [
             {
                 "guarantee": number,
                 "text": GUARANTEES[number],
-                "driven": report.get(number).driven,
+                "driven": report.get(number).scenarios,
                 "requests": report.get(number).requests,
                 "passed": report.get(number).passed,
                 "problems": report.get(number).problems,
@@ -80,7 +87,7 @@
 
 
 def main() -> int:
-    """Run the scenarios, print one line for each guarantee, return the exit code."""
+    """Run the scenarios, print the results and return 0 if all guarantees passed."""
     parser = argparse.ArgumentParser(prog="radishtrack_standins.faults")
     parser.add_argument("--seed", type=int, default=7)
     parser.add_argument("--only", type=int, choices=sorted(GUARANTEES))
@@ -90,12 +97,12 @@
     report = run_all(arguments.seed, arguments.only, arguments.scenario)
     numbers = [arguments.only] if arguments.only else sorted(GUARANTEES)
     if arguments.scenario:
-        numbers = sorted(report.evidence)
+        numbers = sorted(report.results)
     if arguments.json:
-        print(to_json(report, numbers))
+        print(format_json(report, numbers))
     else:
         for number in numbers:
-            print(report.get(number).describe())
+            print(report.get(number).format_line())
     return 0 if all(report.get(number).passed for number in numbers) else 1
 
 
--- a/src/radishtrack_standins/faults/client.py
+++ b/src/radishtrack_standins/faults/client.py
@@ -1,4 +1,4 @@
-"""A client with an ordinary driver, and the outcome it was told."""
+"""Client with an ordinary MySQL driver, and the outcome that it can observe."""
 
 from __future__ import annotations
 
@@ -20,17 +20,18 @@
 UNKNOWN_CODE: Final = 9002
 DRAINING_CODE: Final = 9006
 OVER_RATE_CODE: Final = 9003
-RATE_PATIENCE_S: Final = 6.0
-RATE_PAUSE_S: Final = 0.05
-FIRST_CLIENT_CODE: Final = 2000
-LAST_CLIENT_CODE: Final = 2999
+RATE_RETRY_LIMIT_S: Final = 6.0
+RATE_RETRY_PAUSE_S: Final = 0.05
+FIRST_DRIVER_ERROR_CODE: Final = 2000
+LAST_DRIVER_ERROR_CODE: Final = 2999
+"""Error codes of the client library, not of the server: the connection is lost."""
 CONNECT_TIMEOUT_S: Final = 8.0
-ANSWER_TIMEOUT_S: Final = 20.0
-"""Far over the request timeout, so that only a request that never ends exceeds it."""
+RESPONSE_TIMEOUT_S: Final = 20.0
+"""Far over the request timeout: only a request that never ends exceeds it."""
 
 
 class ClientOutcome(enum.Enum):
-    """What a client knows about its request."""
+    """What a client can conclude about its request."""
 
     RAN = "ran"
     NOT_RUN = "not run"
@@ -38,18 +39,18 @@
     REJECTED = "rejected by the member"
     LOST = "connection lost"
     NOT_CONNECTED = "not connected"
-    NO_RESPONSE = "no answer"
+    NO_RESPONSE = "no response"
 
 
 @attrs.define(frozen=True)
 class StatementResult:
-    """Outcome of one statement."""
+    """Outcome of one statement, with its rows or its error."""
 
     outcome: ClientOutcome
     rows: tuple[tuple[Any, ...], ...] = ()
     code: int = 0
     message: str = ""
-    affected: int = 0
+    affected_rows: int = 0
 
     @property
     def ran(self) -> bool:
@@ -58,7 +59,7 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the client can't tell."""
+        """Whether the outcome is unknown to the client."""
         return self.outcome in (
             ClientOutcome.UNKNOWN,
             ClientOutcome.LOST,
@@ -71,7 +72,7 @@
 
 @attrs.define
 class Client:
-    """One session; connects when it is needed."""
+    """One session, which connects with its first statement."""
 
     proxy: ProxyProcess
     user: str
@@ -80,12 +81,12 @@
     autocommit: bool = True
     connection: Any = None
     has_rate_retries: bool = True
-    """Sends a statement again that was refused because of the rate."""
+    """Whether a statement that was refused as over the rate is sent again."""
     rate_refusals: Counter[str] = attrs.field(factory=Counter)
-    """Refusals because of the rate, by organisation."""
+    """Number of refusals as over the rate, by organisation."""
 
     async def connect(self) -> StatementResult | None:
-        """Open the connection; return the failure, if there is one."""
+        """Open the connection unless it is open; return the failure, if any."""
         if self.connection is not None:
             return None
         try:
@@ -107,48 +108,51 @@
         return None
 
     async def run(self, statement: str) -> StatementResult:
-        """Run one statement and return what the client was told."""
-        end = time.monotonic() + RATE_PATIENCE_S
+        """Run one statement; send it again while it is refused as over the rate.
+
+        It is sent again for up to `RATE_RETRY_LIMIT_S`, if `has_rate_retries` is set.
+        """
+        end_s = time.monotonic() + RATE_RETRY_LIMIT_S
         while True:
             result = await self.run_once(statement)
             if result.code != OVER_RATE_CODE:
                 return result
             self.rate_refusals[self.user] += 1
-            if not self.has_rate_retries or time.monotonic() > end:
+            if not self.has_rate_retries or time.monotonic() > end_s:
                 return result
-            await asyncio.sleep(RATE_PAUSE_S)
+            await asyncio.sleep(RATE_RETRY_PAUSE_S)
 
     async def run_once(self, statement: str) -> StatementResult:
-        """Run one statement without another try."""
+        """Run one statement without a retry."""
         failed = await self.connect()
         if failed is not None:
             return failed
         try:
-            async with asyncio.timeout(ANSWER_TIMEOUT_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 async with self.connection.cursor() as cursor:
-                    affected = await cursor.execute(statement)
+                    affected_rows = await cursor.execute(statement)
                     rows = await cursor.fetchall() if cursor.description else ()
             return StatementResult(
-                ClientOutcome.RAN, tuple(rows), affected=int(affected or 0)
+                ClientOutcome.RAN, tuple(rows), affected_rows=int(affected_rows or 0)
             )
         except TimeoutError:
-            self.drop()
+            self.abort()
             return StatementResult(
-                ClientOutcome.NO_RESPONSE, message="no answer in time"
+                ClientOutcome.NO_RESPONSE, message="no response in time"
             )
         except (MySQLError, OSError, EOFError, asyncio.IncompleteReadError) as error:
-            return self._describe(error)
+            return self._classify_error(error)
 
-    def _describe(self, error: Exception) -> StatementResult:
+    def _classify_error(self, error: Exception) -> StatementResult:
         first = error.args[0] if error.args else 0
         code = first if isinstance(first, int) else 0
         message = str(error)[:160]
-        is_client_code = FIRST_CLIENT_CODE <= code <= LAST_CLIENT_CODE
-        if is_client_code or not code or not isinstance(error, MySQLError):
-            self.drop()
+        is_driver_error = FIRST_DRIVER_ERROR_CODE <= code <= LAST_DRIVER_ERROR_CODE
+        if is_driver_error or not code or not isinstance(error, MySQLError):
+            self.abort()
             return StatementResult(ClientOutcome.LOST, (), code, message)
         if code == DRAINING_CODE:
-            self.drop()
+            self.abort()
         if code in NOT_RUN_CODES:
             return StatementResult(ClientOutcome.NOT_RUN, (), code, message)
         outcome = (
@@ -157,12 +161,12 @@
         return StatementResult(outcome, (), code, message)
 
     async def read_token(self) -> str:
-        """Return the session's token, or nothing if it can't be read."""
+        """Return the session token, or an empty text if it can't be read."""
         result = await self.run("SHOW RADISHTRACK SESSION")
         return str(result.rows[0][0]) if result.ran and result.rows else ""
 
-    def drop(self) -> None:
-        """Close the connection at once, as a client that disappears."""
+    def abort(self) -> None:
+        """Close the connection at once, without the protocol's quit command."""
         if self.connection is not None:
             self.connection.close()
             self.connection = None
@@ -171,7 +175,7 @@
 def make_client(
     cluster: Cluster, number: int, organisation: str = "", *, autocommit: bool = True
 ) -> Client:
-    """Return a client of one of the proxies, by number."""
+    """Return a client of a proxy, by number modulo the number of proxies."""
     name = organisation or cluster.plan.organisations[0][0]
     return Client(
         cluster.proxies[number % len(cluster.proxies)],
--- a/src/radishtrack_standins/faults/paths.py
+++ b/src/radishtrack_standins/faults/paths.py
@@ -1,7 +1,7 @@
-"""Relay that is cut for some processes only: a partition with one open path.
+"""Relay that can be cut for single processes, to leave one path open in a partition.
 
-All proxies read the same addresses of the members, so the paths of single proxies can
-only be told apart by the process at the other end of a connection.
+All proxies read the same addresses of the members, so only the process at the other
+end of a connection distinguishes the paths of single proxies.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 _INODE_FIELD: Final = 9
 
 
-def find_inode(port: int) -> str:
-    """Return the inode of the local socket with this port, or nothing."""
+def find_socket_inode(port: int) -> str:
+    """Return the inode of the local socket with this port, or an empty text."""
     for line in Path("/proc/net/tcp").read_text().splitlines()[1:]:
         fields = line.split()
         if int(fields[1].split(":")[1], 16) == port and fields[_INODE_FIELD] != "0":
@@ -30,12 +30,12 @@
     return ""
 
 
-def is_owner(process: int, port: int) -> bool:
-    """Whether a process holds the local socket with this port."""
-    wanted = f"socket:[{find_inode(port)}]"
+def has_socket(process_id: int, port: int) -> bool:
+    """Whether a process has the local socket with this port open."""
+    link = f"socket:[{find_socket_inode(port)}]"
     try:
-        with os.scandir(f"/proc/{process}/fd") as entries:
-            return any(_read_link(entry.path) == wanted for entry in entries)
+        with os.scandir(f"/proc/{process_id}/fd") as entries:
+            return any(_read_link(entry.path) == link for entry in entries)
     except OSError:
         return False
 
@@ -48,17 +48,18 @@
 
 
 @attrs.define
-class Paths:
-    """Forwards connections, but holds back those of the cut processes."""
+class PathRelay:
+    """Forwards connections, but holds back the data of the cut processes."""
 
     target_host: str
     target_port: int
     cut: frozenset[int] = frozenset()
+    """IDs of the processes whose connections are held back."""
     changed: asyncio.Event = attrs.field(factory=asyncio.Event)
 
-    def set_cut(self, processes: frozenset[int]) -> None:
-        """Cut the paths of these processes and heal all others."""
-        self.cut = processes
+    def set_cut(self, process_ids: frozenset[int]) -> None:
+        """Cut the connections of these processes and restore all others."""
+        self.cut = process_ids
         self.changed.set()
         self.changed = asyncio.Event()
 
@@ -69,57 +70,57 @@
         port = int(writer.get_extra_info("peername")[1])
         writers = [writer]
         try:
-            await self._pass(port)
-            back_reader, back_writer = await asyncio.open_connection(
+            await self._wait_while_cut(port)
+            target_reader, target_writer = await asyncio.open_connection(
                 self.target_host, self.target_port
             )
-            writers.append(back_writer)
+            writers.append(target_writer)
             async with asyncio.TaskGroup() as tasks:
-                tasks.create_task(self._pump(reader, back_writer, port))
-                tasks.create_task(self._pump(back_reader, writer, port))
+                tasks.create_task(self._pump(reader, target_writer, port))
+                tasks.create_task(self._pump(target_reader, writer, port))
         except* (OSError, asyncio.CancelledError):
-            # Cancelled only when the process ends.
+            # Cancelled only when this process ends.
             pass
         finally:
             for each in writers:
                 each.transport.abort()
 
-    async def _pass(self, port: int) -> None:
-        while any(is_owner(process, port) for process in self.cut):
+    async def _wait_while_cut(self, port: int) -> None:
+        while any(has_socket(process_id, port) for process_id in self.cut):
             await self.changed.wait()
 
     async def _pump(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, port: int
     ) -> None:
         while data := await reader.read(CHUNK_BYTES):
-            await self._pass(port)
+            await self._wait_while_cut(port)
             writer.write(data)
             await writer.drain()
-        await self._pass(port)
-        # One closed direction ends the connection, as the proxies never half-close.
+        await self._wait_while_cut(port)
+        # One closed direction ends the connection: the proxies never half-close one.
         raise ConnectionResetError
 
 
 async def _serve(target: str) -> None:
     host, port = target.rsplit(":", 1)
-    paths = Paths(host, int(port))
+    relay = PathRelay(host, int(port))
 
     async def control(request: web.Request) -> web.Response:
         values = await request.json()
-        paths.set_cut(frozenset(values["cut"]))
+        relay.set_cut(frozenset(values["cut"]))
         return web.json_response({})
 
-    server = await asyncio.start_server(paths.accept, HOST, 0)
+    server = await asyncio.start_server(relay.accept, HOST, 0)
     application = web.Application()
     application.router.add_post("/control", control)
     runner = web.AppRunner(application, access_log=None)
     await runner.setup()
     await web.TCPSite(runner, HOST, 0).start()
     stopped = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stopped.set)
-    own = server.sockets[0].getsockname()[1]
-    print(f"paths port={own} control_port={runner.addresses[0][1]}", flush=True)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        asyncio.get_running_loop().add_signal_handler(signal_number, stopped.set)
+    own_port = server.sockets[0].getsockname()[1]
+    print(f"paths port={own_port} control_port={runner.addresses[0][1]}", flush=True)
     await stopped.wait()
     server.close()
     await runner.cleanup()
--- a/src/radishtrack_standins/faults/report.py
+++ b/src/radishtrack_standins/faults/report.py
@@ -1,4 +1,4 @@
-"""What the scenarios found, by guarantee."""
+"""Results of the scenarios, by guarantee."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     12: "a planned stop interrupts no request",
     13: "configuration in force, never rolled back",
 }
-SHOWN_PROBLEMS: Final = 3
+MAX_SHOWN_PROBLEMS: Final = 3
 
 
 @attrs.define(frozen=True)
@@ -45,69 +45,70 @@
 
 
 @attrs.define
-class Evidence:
-    """Everything that was found about one guarantee."""
+class GuaranteeResult:
+    """Requests, problems and figures of one guarantee in all scenarios."""
 
     number: int
-    driven: list[str] = attrs.field(factory=list)
+    scenarios: list[str] = attrs.field(factory=list)
+    """Names of the scenarios that tested the guarantee."""
     requests: int = 0
     problems: list[str] = attrs.field(factory=list)
     figures: dict[str, Figure] = attrs.field(factory=dict)
 
     @property
     def passed(self) -> bool:
-        """Whether something was driven and nothing spoke against the guarantee."""
+        """Whether requests tested it, without a problem or a figure over its limit."""
         is_over_limit = any(figure.is_over_limit for figure in self.figures.values())
         return (
-            bool(self.driven and self.requests)
+            bool(self.scenarios and self.requests)
             and not self.problems
             and not is_over_limit
         )
 
-    def describe(self) -> str:
-        """Return the line that is printed."""
+    def format_line(self) -> str:
+        """Return one line with scenarios, verdict, problems and figures."""
         reasons = [str(f) for f in self.figures.values() if f.is_over_limit]
-        reasons += self.problems[:SHOWN_PROBLEMS]
-        hidden = len(self.problems) - SHOWN_PROBLEMS
-        if hidden > 0:
-            reasons.append(f"and {hidden} more")
-        if not self.driven or not self.requests:
-            reasons.append("nothing was driven")
+        reasons += self.problems[:MAX_SHOWN_PROBLEMS]
+        hidden_count = len(self.problems) - MAX_SHOWN_PROBLEMS
+        if hidden_count > 0:
+            reasons.append(f"and {hidden_count} more")
+        if not self.scenarios or not self.requests:
+            reasons.append("no request tested it")
         verdict = "PASS" if self.passed else f"FAIL ({'; '.join(reasons)})"
         figures = ", ".join(
             str(f) for f in self.figures.values() if not f.is_over_limit
         )
         return (
-            f"{self.number:2} {GUARANTEES[self.number]}: {', '.join(self.driven)}; "
+            f"{self.number:2} {GUARANTEES[self.number]}: {', '.join(self.scenarios)}; "
             f"{self.requests} requests; {verdict}" + (f"; {figures}" if figures else "")
         )
 
 
 @attrs.define
 class Report:
-    """Collects evidence; scenarios add to it under their own name."""
+    """Collects results under the name of the current scenario."""
 
-    evidence: dict[int, Evidence] = attrs.field(factory=dict)
+    results: dict[int, GuaranteeResult] = attrs.field(factory=dict)
     scenario: str = ""
-    wanted: frozenset[int] = frozenset(GUARANTEES)
+    selected_guarantees: frozenset[int] = frozenset(GUARANTEES)
 
-    def get(self, guarantee: int) -> Evidence:
-        """Return the evidence of one guarantee."""
-        return self.evidence.setdefault(guarantee, Evidence(guarantee))
+    def get(self, guarantee: int) -> GuaranteeResult:
+        """Return the result of one guarantee, empty at first."""
+        return self.results.setdefault(guarantee, GuaranteeResult(guarantee))
 
     def add_requests(self, guarantee: int, count: int) -> None:
         """Count requests that could have broken the guarantee."""
-        found = self.get(guarantee)
-        if self.scenario not in found.driven:
-            found.driven.append(self.scenario)
-        found.requests += count
+        result = self.get(guarantee)
+        if self.scenario not in result.scenarios:
+            result.scenarios.append(self.scenario)
+        result.requests += count
 
     def add_problem(self, guarantee: int, text: str) -> None:
-        """Note something that breaks the guarantee."""
+        """Record a violation of the guarantee."""
         self.get(guarantee).problems.append(f"{self.scenario}: {text}")
 
     def require(self, guarantee: int, condition: object, text: str) -> None:
-        """Note a problem unless the condition holds."""
+        """Record a problem unless the condition holds."""
         if not condition:
             self.add_problem(guarantee, text)
 
@@ -119,15 +120,15 @@
         unit: str,
         limit: float | None = None,
     ) -> None:
-        """Keep the worst value of a figure."""
+        """Keep the highest value of a figure."""
         figures = self.get(guarantee).figures
-        known = figures.get(name)
-        if known is None or value > known.value:
+        previous = figures.get(name)
+        if previous is None or value > previous.value:
             figures[name] = Figure(name, value, unit, limit)
 
 
 @attrs.define
 class Summary:
-    """Counts of outcomes, for the log of a scenario."""
+    """Number of requests by outcome, for the log of a scenario."""
 
     outcomes: Counter[str] = attrs.field(factory=Counter)
--- a/src/radishtrack_standins/faults/transactions.py
+++ b/src/radishtrack_standins/faults/transactions.py
@@ -1,4 +1,4 @@
-"""Transactions of several clients, and proxies that die or pause inside them."""
+"""Transactions of several clients while a proxy is killed or paused."""
 
 from __future__ import annotations
 
@@ -14,31 +14,32 @@
 if TYPE_CHECKING:
     from radishtrack_standins.faults.deployment import Deployment
 
-CLIENTS: Final = 6
+CLIENT_COUNT: Final = 6
 RUN_S: Final = 5.0
-ROWS_EACH: Final = 3
+ROWS_PER_TRANSACTION: Final = 3
 SETTLE_S: Final = 3.0
 
 
 @attrs.define
 class TransactionLedger:
-    """What clients were told about their transactions, by tag."""
+    """Outcomes reported for transactions, by tag."""
 
     committed: set[str] = attrs.field(factory=set)
     not_committed: dict[str, str] = attrs.field(factory=dict)
+    """Reason why the transaction was not committed."""
     unknown: set[str] = attrs.field(factory=set)
-    seen_foreign: list[str] = attrs.field(factory=list)
+    wrong_reads: list[str] = attrs.field(factory=list)
     statements: int = 0
 
 
 async def run_transaction(client: Client, tag: str, ledger: TransactionLedger) -> None:
-    """Insert `ROWS_EACH` rows in one transaction and commit or roll back."""
-    begun = await client.run("BEGIN")
+    """Insert rows in one transaction; commit, roll back or disconnect, by its tag."""
+    begin_result = await client.run("BEGIN")
     ledger.statements += 1
-    if not begun.ran:
-        ledger.not_committed[tag] = str(begun)
+    if not begin_result.ran:
+        ledger.not_committed[tag] = str(begin_result)
         return
-    for number in range(ROWS_EACH):
+    for number in range(ROWS_PER_TRANSACTION):
         result = await client.run(
             f"INSERT INTO orders (id, organisation) VALUES ('{tag}-{number}', '{tag}')"
         )
@@ -50,8 +51,8 @@
             return
     await _check_own_rows(client, tag, ledger)
     if tag.endswith("7"):
-        client.drop()
-        ledger.not_committed[tag] = "the client left before the commit"
+        client.abort()
+        ledger.not_committed[tag] = "client disconnected before the commit"
         return
     if tag.endswith("3"):
         await client.run("ROLLBACK")
@@ -66,8 +67,11 @@
         "GROUP BY organisation"
     )
     ledger.statements += 1
-    if result.ran and [str(v) for v in result.rows[0]] != [tag, str(ROWS_EACH)]:
-        ledger.seen_foreign.append(f"{tag} saw {result.rows}")
+    if result.ran and [str(v) for v in result.rows[0]] != [
+        tag,
+        str(ROWS_PER_TRANSACTION),
+    ]:
+        ledger.wrong_reads.append(f"{tag} read {result.rows}")
 
 
 def _record_commit(
@@ -81,61 +85,72 @@
         ledger.not_committed[tag] = str(result)
 
 
-async def judge(deployment: Deployment, ledger: TransactionLedger) -> None:
-    """Compare the ledger with the rows of the recorded primary."""
+async def check_transactions(deployment: Deployment, ledger: TransactionLedger) -> None:
+    """Compare the reported outcomes with the rows at the recorded primary."""
     report = deployment.report
     counts = Counter(str(row[1]) for row in await deployment.read_rows("orders"))
     report.add_requests(3, ledger.statements)
-    for text in ledger.seen_foreign:
+    for text in ledger.wrong_reads:
         report.add_problem(3, text)
     for tag, count in counts.items():
-        report.require(3, count == ROWS_EACH, f"{tag} has {count} of {ROWS_EACH} rows")
+        report.require(
+            3,
+            count == ROWS_PER_TRANSACTION,
+            f"{tag} has {count} of {ROWS_PER_TRANSACTION} rows",
+        )
     for tag in sorted(ledger.committed - counts.keys()):
         report.add_problem(2, f"acknowledged transaction {tag} is missing")
     for tag in sorted(ledger.not_committed.keys() & counts.keys()):
         reported = ledger.not_committed[tag]
-        report.add_problem(3, f"{tag} has rows although told: {reported}")
-    report.require(3, len(ledger.committed) > CLIENTS, "too few transactions ended")
+        report.add_problem(3, f"{tag} has rows although reported as: {reported}")
+    report.require(
+        3, len(ledger.committed) > CLIENT_COUNT, "too few transactions were committed"
+    )
 
 
-async def mix(deployment: Deployment, number: int, ledger: TransactionLedger) -> None:
-    """Run transactions of one client until the time is over."""
+async def run_transactions(
+    deployment: Deployment, number: int, ledger: TransactionLedger
+) -> None:
+    """Run transactions of one client for `RUN_S` seconds."""
     client = deployment.create_client(number)
-    end = asyncio.get_running_loop().time() + RUN_S
+    end_s = asyncio.get_running_loop().time() + RUN_S
     attempt = 0
-    while asyncio.get_running_loop().time() < end:
+    while asyncio.get_running_loop().time() < end_s:
         attempt += 1
         await run_transaction(client, f"t{number}-{attempt}", ledger)
         if client.connection is None:
             client = deployment.create_client(number + attempt)
         await asyncio.sleep(deployment.random.uniform(0, 0.02))
-    client.drop()
+    client.abort()
 
 
 async def kill_proxy(deployment: Deployment) -> None:
-    """Kill a proxy in the middle of transactions, and start it again."""
+    """Kill a proxy during transactions, and start it again."""
     await deployment.create_tables()
     ledger = TransactionLedger()
-    tasks = [asyncio.create_task(mix(deployment, n, ledger)) for n in range(CLIENTS)]
+    tasks = [
+        asyncio.create_task(run_transactions(deployment, n, ledger))
+        for n in range(CLIENT_COUNT)
+    ]
     await asyncio.sleep(1.0)
     open_client = deployment.create_client(1)
     await open_client.run("BEGIN")
     await open_client.run("INSERT INTO orders VALUES ('open-0', 'open')")
-    ledger.not_committed["open"] = "its proxy died before the commit"
+    ledger.not_committed["open"] = "proxy was killed before the commit"
     await asyncio.to_thread(deployment.cluster.proxies[1].kill)
     await asyncio.sleep(1.0)
     deployment.cluster.proxies[1].start()
     await asyncio.gather(*tasks)
     await asyncio.sleep(SETTLE_S)
-    await judge(deployment, ledger)
+    await check_transactions(deployment, ledger)
 
 
 async def pause_proxy_at_commit(deployment: Deployment) -> None:
-    """Pause a proxy between commit and answer, and resume it after a promotion."""
+    """Pause a proxy between commit and response, and resume it after a promotion."""
     await deployment.create_tables()
     report = deployment.report
-    old = await deployment.read_primary()
-    await deployment.control_member(old, delay_ms=150)
+    old_primary = await deployment.read_primary()
+    await deployment.control_member(old_primary, delay_ms=150)
     writers = [deployment.create_client(0) for _ in range(4)]
     for writer in writers:
         await writer.connect()
@@ -147,8 +162,8 @@
     ]
     await asyncio.sleep(0.1 + 0.2 * deployment.random.random())
     deployment.cluster.proxies[0].signal(signal.SIGSTOP)
-    await asyncio.to_thread(deployment.cluster.members[old].kill)
-    promoted_s = await deployment.wait_for_promotion(old)
+    await asyncio.to_thread(deployment.cluster.members[old_primary].kill)
+    promoted_s = await deployment.wait_for_promotion(old_primary)
     await asyncio.sleep(0.5)
     deployment.cluster.proxies[0].signal(signal.SIGCONT)
     report.add_figure(2, "change of primary with a paused proxy", promoted_s, "s", 7.0)
@@ -162,4 +177,6 @@
         if result.ran:
             report.require(2, row in rows, f"{row} acknowledged and missing")
         if result.outcome in (ClientOutcome.NOT_RUN, ClientOutcome.REJECTED):
-            report.require(9, row not in rows, f"{row} ran although told: {result}")
+            report.require(
+                9, row not in rows, f"{row} ran although reported as: {result}"
+            )
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,7 +1,7 @@
-"""Guards the guarantees against faults of real processes: the quickest scenarios.
+"""Runs the quickest fault scenarios on real processes, and tests their evaluation.
 
-The whole set runs with ``make faults``. Each scenario judges what clients were told
-against the rows of the members.
+The whole set runs with ``make faults``. Each scenario compares the outcomes that were
+reported to clients with the rows of the members.
 """
 
 from __future__ import annotations
@@ -11,40 +11,40 @@
 import pytest
 
 from radishtrack_standins.faults.__main__ import run_scenario
-from radishtrack_standins.faults.rates import Interval, find_worst_excess
+from radishtrack_standins.faults.bookings import compute_longest_gap_s
+from radishtrack_standins.faults.rates import RequestInterval, find_worst_excess
 from radishtrack_standins.faults.report import Report
 from radishtrack_standins.faults.scenarios import SCENARIOS
-from radishtrack_standins.faults.work import compute_longest_gap_s
 
 SEED = 7
-QUICK = (
+QUICK_SCENARIOS = (
     "kill primary",
     "death in a result",
     "lost commit answers",
 )
 
 
-@pytest.mark.parametrize("name", QUICK)
+@pytest.mark.parametrize("name", QUICK_SCENARIOS)
 def test_guarantees_hold(name: str) -> None:
-    """A fault must not make a proxy tell a client what the rows contradict."""
+    """A fault must not make a proxy report an outcome that the rows contradict."""
     report = Report()
     scenario = next(each for each in SCENARIOS if each.name == name)
     run_scenario(scenario, report, SEED)
     failed = [
-        report.get(number).describe()
+        report.get(number).format_line()
         for number in scenario.guarantees
         if not report.get(number).passed
     ]
     assert failed == []
 
 
-def test_nothing_driven_does_not_pass() -> None:
-    """A guarantee without a request must not count as kept."""
+def test_guarantee_without_requests_fails() -> None:
+    """A guarantee that no request tested must not pass."""
     assert not Report().get(7).passed
 
 
 def test_figure_over_its_limit_fails() -> None:
-    """A gap over 7 s must fail also if no other problem was noted."""
+    """A gap over 7 s must fail even if no problem was recorded."""
     report = Report(scenario="kill primary")
     report.add_requests(2, 10)
     report.add_figure(2, "gap", 6900.0, "ms", 7000.0)
@@ -53,15 +53,15 @@
     assert not report.get(2).passed
 
 
-def test_excess_is_found_inside_the_run() -> None:
-    """A burst in the middle must not be hidden by a slow start and end."""
-    slow = [Interval(float(second), second + 0.01) for second in range(10)]
-    burst = [Interval(5.0 + n / 1000, 5.01 + n / 1000) for n in range(20)]
+def test_burst_inside_the_run_is_found() -> None:
+    """A low rate before and after a burst must not hide its excess."""
+    slow = [RequestInterval(float(second), second + 0.01) for second in range(10)]
+    burst = [RequestInterval(5.0 + n / 1000, 5.01 + n / 1000) for n in range(20)]
     assert find_worst_excess(slow, 2.0, 10)[0] <= 0
     assert find_worst_excess(slow + burst, 2.0, 10)[0] > 9
 
 
 def test_gap_counts_from_the_fault_to_the_end() -> None:
-    """A service that never returns must show as a gap up to the end of the run."""
+    """A service that does not return must show as a gap up to the end of the run."""
     now = time.monotonic()
     assert compute_longest_gap_s([now - 1, now + 1], now, now + 9) == pytest.approx(8.0)
