--- a/src/radishtrack_standins/faults/stop.py
+++ b/src/radishtrack_standins/faults/stop.py
@@ -9,118 +9,127 @@
 
 import attrs
 
-from radishtrack_standins.faults.client import Answer, Client, Told
+from radishtrack_standins.faults.client import Client, ClientOutcome, StatementResult
 
 if TYPE_CHECKING:
-    from radishtrack_standins.faults.world import World
+    from radishtrack_standins.faults.deployment import Deployment
 
-WORKERS: Final = 12
+WORKER_COUNT: Final = 12
 DRAINING_CODE: Final = 9006
 EXIT_TIMEOUT_S: Final = 25.0
-INTERRUPTED: Final = (Told.LOST, Told.UNKNOWN, Told.SILENT)
+INTERRUPTED: Final = (
+    ClientOutcome.LOST,
+    ClientOutcome.UNKNOWN,
+    ClientOutcome.NO_RESPONSE,
+)
 
 
 @attrs.define
 class StopLedger:
-    """Requests during the stop."""
+    """Outcomes of the requests during the stop."""
 
     ran: set[str] = attrs.field(factory=set)
     not_run: dict[str, str] = attrs.field(factory=dict)
     interrupted: list[str] = attrs.field(factory=list)
     requests: int = 0
 
-    def note(self, name: str, answer: Answer) -> None:
-        """Take down an answer."""
+    def record(self, name: str, result: StatementResult) -> None:
+        """Record the outcome of a request."""
         self.requests += 1
-        if answer.told in INTERRUPTED:
-            self.interrupted.append(f"{name}: {answer}")
-        elif answer.ran:
+        if result.outcome in INTERRUPTED:
+            self.interrupted.append(f"{name}: {result}")
+        elif result.ran:
             self.ran.add(name)
         else:
-            self.not_run[name] = str(answer)
+            self.not_run[name] = str(result)
 
 
-async def stop_under_load(world: World) -> None:
-    """Stop a proxy with SIGTERM while it works in every way."""
-    await world.define_tables()
-    report, ledger, ending = world.report, StopLedger(), asyncio.Event()
-    proxy = world.cluster.proxies[1]
+async def stop_under_load(deployment: Deployment) -> None:
+    """Stop a proxy with SIGTERM during writes, a slow read and a transaction."""
+    await deployment.create_tables()
+    report, ledger, stop = deployment.report, StopLedger(), asyncio.Event()
+    proxy = deployment.cluster.proxies[1]
     tasks = [
-        asyncio.create_task(_load(world, n, ledger, ending)) for n in range(WORKERS)
+        asyncio.create_task(_insert_until_stopped(deployment, n, ledger, stop))
+        for n in range(WORKER_COUNT)
     ]
-    slow = asyncio.create_task(_run_slowly(world, ledger))
-    inside, idle = world.client(1), world.client(1)
-    begun = await inside.run("BEGIN")
-    report.require(12, begun.ran, f"transaction before the stop: {begun}")
+    slow = asyncio.create_task(_run_slow_read(deployment, ledger))
+    in_transaction, idle = deployment.create_client(1), deployment.create_client(1)
+    begin_result = await in_transaction.run("BEGIN")
+    report.require(12, begin_result.ran, f"BEGIN before the stop: {begin_result}")
     await idle.run("SELECT COUNT(*) FROM orders")
     await asyncio.sleep(1.0)
     proxy.signal(signal.SIGTERM)
     await asyncio.sleep(0.3)
-    first = await idle.run("SELECT COUNT(*) FROM orders")
+    idle_result = await idle.run("SELECT COUNT(*) FROM orders")
     report.require(
-        12, first.code == DRAINING_CODE, f"idle session at the stopping node: {first}"
+        12,
+        idle_result.code == DRAINING_CODE,
+        f"idle session at the stopping node: {idle_result}",
     )
-    await _end_transaction(inside, ledger)
+    await _finish_transaction(in_transaction, ledger)
     assert proxy.process is not None
     try:
         code = await asyncio.to_thread(proxy.process.wait, EXIT_TIMEOUT_S)
     except Exception as error:
         code = -1
-        report.add_problem(12, f"did not exit: {error!r}")
+        report.add_problem(12, f"proxy did not exit: {error!r}")
     await asyncio.sleep(1.0)
-    ending.set()
+    stop.set()
     await asyncio.gather(slow, *tasks)
     report.require(12, code == 0, f"exit code {code}")
     report.add_requests(12, ledger.requests)
     report.add_figure(12, "interrupted", len(ledger.interrupted), "requests", 0)
     for text in ledger.interrupted:
         report.add_problem(12, text)
-    await _judge(world, ledger)
+    await _check_rows(deployment, ledger)
 
 
-async def _judge(world: World, ledger: StopLedger) -> None:
-    report = world.report
-    rows = {str(row[0]) for row in await world.rows("orders")}
+async def _check_rows(deployment: Deployment, ledger: StopLedger) -> None:
+    report = deployment.report
+    rows = {str(row[0]) for row in await deployment.read_rows("orders")}
     names = {name for name in ledger.ran if not name.startswith("read")}
     report.require(12, names <= rows, f"acknowledged and missing: {names - rows}")
     report.add_requests(9, ledger.requests)
     for name in sorted(ledger.not_run.keys() & rows):
-        report.add_problem(9, f"{name} ran although told: {ledger.not_run[name]}")
+        report.add_problem(
+            9, f"{name} ran although reported as: {ledger.not_run[name]}"
+        )
 
 
-async def _load(
-    world: World, number: int, ledger: StopLedger, ending: asyncio.Event
+async def _insert_until_stopped(
+    deployment: Deployment, number: int, ledger: StopLedger, stop: asyncio.Event
 ) -> None:
-    client = world.client(number)
+    client = deployment.create_client(number)
     for turn in itertools.count():
-        if ending.is_set():
+        if stop.is_set():
             break
         name = f"stop-{number}-{turn}"
-        answer = await client.run(f"INSERT INTO orders VALUES ('{name}', 'x')")
-        ledger.note(name, answer)
+        result = await client.run(f"INSERT INTO orders VALUES ('{name}', 'x')")
+        ledger.record(name, result)
         if client.connection is None:
             # A load balancer sends the next connection to the other proxy.
-            client = world.client(0)
-    client.drop()
+            client = deployment.create_client(0)
+    client.abort()
 
 
-async def _run_slowly(world: World, ledger: StopLedger) -> None:
-    client = world.client(1)
+async def _run_slow_read(deployment: Deployment, ledger: StopLedger) -> None:
+    client = deployment.create_client(1)
     await asyncio.sleep(0.6)
-    ledger.note(
+    ledger.record(
         "read-slow", await client.run("SELECT SLEEP(2), id FROM orders LIMIT 1")
     )
-    client.drop()
+    client.abort()
 
 
-async def _end_transaction(client: Client, ledger: StopLedger) -> None:
+async def _finish_transaction(client: Client, ledger: StopLedger) -> None:
     for number in range(3):
         name = f"inside-{number}"
-        ledger.note(
+        ledger.record(
             name, await client.run(f"INSERT INTO orders VALUES ('{name}', 'inside')")
         )
         await asyncio.sleep(0.2)
-    answer = await client.run("COMMIT")
-    ledger.note("read-commit", answer)
-    if not answer.ran:
-        ledger.interrupted.append(f"transaction open at the stop: {answer}")
+    result = await client.run("COMMIT")
+    ledger.record("read-commit", result)
+    if not result.ran:
+        ledger.interrupted.append(f"transaction open at the stop: {result}")
