--- a/src/radishtrack_standins/object_store.py
+++ b/src/radishtrack_standins/object_store.py
@@ -33,7 +33,7 @@
 
 
 @attrs.define(eq=False)
-class StandInStore:
+class StandinStore:
     """Object store with its promotion service; `start` opens the port."""
 
     objects: dict[tuple[str, str], dict[str, Any]] = attrs.field(factory=dict)
--- a/src/radishtrack_standins/soak/fleet.py
+++ b/src/radishtrack_standins/soak/fleet.py
@@ -16,7 +16,7 @@
 
 from radishtrack.platform.settings import SETTINGS_VARIABLE
 from radishtrack_standins.cluster import find_free_ports
-from radishtrack_standins.object_store import ShowObject, StandInStore
+from radishtrack_standins.object_store import ShowObject, StandinStore
 from radishtrack_standins.relay import Relay, start_relay
 from radishtrack_standins.soak.group import Group
 
@@ -128,7 +128,7 @@
 
 
 async def make_nodes(
-    names: tuple[str, ...], store: StandInStore, group: Group, directory: Path
+    names: tuple[str, ...], store: StandinStore, group: Group, directory: Path
 ) -> dict[str, NodeProcess]:
     """Return nodes with relays to the store, the members and each other."""
     nodes = {
--- a/src/radishtrack_standins/soak/run.py
+++ b/src/radishtrack_standins/soak/run.py
@@ -14,7 +14,7 @@
 
 from radishtrack.clock import make_boot_clock
 from radishtrack.platform.lines import ConnectionEnded
-from radishtrack_standins.object_store import StandInStore
+from radishtrack_standins.object_store import StandinStore
 from radishtrack_standins.platform_objects import (
     STRICT_DATABASE,
     make_config,
@@ -49,7 +49,7 @@
 class Soak:
     """State of a run; made by `open_soak`."""
 
-    store: StandInStore
+    store: StandinStore
     group: Group
     nodes: dict[str, NodeProcess]
     ledger: Ledger
@@ -296,7 +296,7 @@
 @asynccontextmanager
 async def open_soak(directory: Path) -> AsyncIterator[Soak]:
     """Start the store, members and nodes; stop them on exit."""
-    store = StandInStore()
+    store = StandinStore()
     await store.start()
     group = await start_group()
     ledger = Ledger()
--- a/tests/pooler_simulation.py
+++ b/tests/pooler_simulation.py
@@ -22,7 +22,7 @@
 from radishtrack_standins import platform_objects
 from radishtrack_standins.cluster import find_free_ports
 from radishtrack_standins.line_member import LineMember
-from radishtrack_standins.object_store import StandInStore
+from radishtrack_standins.object_store import StandinStore
 from radishtrack_standins.platform_objects import make_member_entry
 
 GROUP = "strekk"
@@ -97,7 +97,7 @@
 class Simulation:
     """Store, members and nodes of the fleet; construct it with `open_simulation`."""
 
-    store: StandInStore
+    store: StandinStore
     members: dict[str, LineMember]
     nodes: list[RunningNode] = attrs.field(factory=list)
 
@@ -159,7 +159,7 @@
 @asynccontextmanager
 async def open_simulation(nodes: int = 1) -> AsyncIterator[Simulation]:
     """Start a store, three members and nodes; wait until the nodes can serve."""
-    store = StandInStore()
+    store = StandinStore()
     await store.start()
     members = {
         name: LineMember(GROUP, name, "primary" if name == "i-1" else "replica")
