--- a/src/radishtrack_standins/cluster.py
+++ b/src/radishtrack_standins/cluster.py
@@ -341,7 +341,7 @@
     for proxy in cluster.proxies:
         while not proxy.is_ready():
             if proxy.process is not None and proxy.process.poll() is not None:
-                # Another process may have bound one of the ports since the choice.
+                # Another process may have bound a port since it was chosen.
                 replace_ports(proxy)
                 proxy.start()
             if time.monotonic() > end:
@@ -400,7 +400,7 @@
 
 
 def find_free_ports(count: int) -> list[int]:
-    """Return distinct free ports; other processes can bind them meanwhile."""
+    """Return distinct free ports; another process may bind one before its use."""
     with contextlib.ExitStack() as stack:
         ports = []
         for _ in range(count):
--- a/src/radishtrack_standins/line_member.py
+++ b/src/radishtrack_standins/line_member.py
@@ -18,7 +18,7 @@
     is_unresponsive: bool = False
     """Sends no responses, not even on open connections."""
     lose_answers: int = 0
-    """Number of next reads, writes and commits that run but lose their response."""
+    """Count of upcoming reads, writes and commits that run but lose their response."""
     refuse_with: str = ""
     """Error code with which all reads and writes are refused; empty for none."""
     work_ms: float = 0.0
--- a/src/radishtrack_standins/member_core.py
+++ b/src/radishtrack_standins/member_core.py
@@ -46,7 +46,7 @@
     """A session whose open transaction the member can abort."""
 
     def abort(self) -> None:
-        """Roll back the open transaction, if there is one."""
+        """Roll back the open transaction if it holds the write lock."""
 
 
 @attrs.define(frozen=True)
@@ -105,7 +105,7 @@
             ) from None
 
     def abort_transactions(self) -> None:
-        """Roll back all open transactions, none of which can commit any more."""
+        """Roll back transactions that hold the write lock; none can commit any more."""
         for session in list(self.sessions):
             session.abort()
 
--- a/src/radishtrack_standins/member_faults.py
+++ b/src/radishtrack_standins/member_faults.py
@@ -63,7 +63,7 @@
     async def wait_while_unreachable(self) -> None:
         """Wait while no user can get a response.
 
-        Before the login a connection can be of a client or of a replica.
+        Before the login it is unknown whether a client or a replica has connected.
         """
         while self.freeze or (self.cut_clients and self.cut_replication):
             await self.changed.wait()
--- a/src/radishtrack_standins/member_replica.py
+++ b/src/radishtrack_standins/member_replica.py
@@ -30,8 +30,8 @@
 ) -> bool:
     """Run `work`; if `event` is set first, cancel `work` and return True.
 
-    Otherwise a pending pull from the old source would delay the change to a new one
-    by the time of a long poll.
+    Without the cancellation, a pending pull from the old source would delay the change
+    to a new one by up to the time of a long poll.
     """
     work_task = asyncio.ensure_future(work)
     event_task = asyncio.ensure_future(event.wait())
--- a/src/radishtrack_standins/object_store.py
+++ b/src/radishtrack_standins/object_store.py
@@ -29,7 +29,7 @@
     delay_s: float = 0.0
     """Delay before each call takes effect."""
     lose_writes: int = 0
-    """Number of next writes that take effect but lose their response."""
+    """Number of upcoming writes that take effect but lose their response."""
 
 
 @attrs.define(eq=False)
--- a/src/radishtrack_standins/platform.py
+++ b/src/radishtrack_standins/platform.py
@@ -101,7 +101,7 @@
 
     @property
     def control_url(self) -> str:
-        """Base URL of the fault switches, also while the API refuses connections."""
+        """Base URL of the fault switches; usable while the API refuses connections."""
         return f"http://{HOST}:{self.control_port}"
 
     async def close(self) -> None:
--- a/src/radishtrack_standins/platform_faults.py
+++ b/src/radishtrack_standins/platform_faults.py
@@ -43,9 +43,9 @@
         Probability that a write is applied but its connection closed without a
         response.
     lose_answers_count : int
-        Number of next writes that lose their response regardless of the probability.
+        Number of upcoming writes that lose their response, whatever the probability.
     lose_requests_count : int
-        Number of next writes whose connection is closed before they take effect.
+        Number of upcoming writes whose connection is closed before they take effect.
     """
 
     outage: str = ""
@@ -68,7 +68,7 @@
         self.changed = asyncio.Event()
 
     def should_lose_answer(self) -> bool:
-        """Return whether the current write loses its response; counts it down."""
+        """Return whether the current write loses its response; update the count."""
         if self.lose_answers_count > 0:
             self.lose_answers_count -= 1
             return True
@@ -76,7 +76,7 @@
         return probability > 0 and self.random.random() < probability
 
     def should_lose_request(self) -> bool:
-        """Return whether the current write is lost before it takes effect."""
+        """Return whether the current write is lost before it runs; update the count."""
         if self.lose_requests_count > 0:
             self.lose_requests_count -= 1
             return True
--- a/src/radishtrack_standins/relay.py
+++ b/src/radishtrack_standins/relay.py
@@ -67,7 +67,7 @@
         await self.set(cut_to_target=True, cut_from_target=True)
 
     async def heal(self) -> None:
-        """End cuts in both directions and refusal; a delay stays."""
+        """End the cuts in both directions and the refusal; a delay stays."""
         await self.set(cut_to_target=False, cut_from_target=False, refuse=False)
 
     async def close(self) -> None:
--- a/src/radishtrack_standins/soak/ledger.py
+++ b/src/radishtrack_standins/soak/ledger.py
@@ -31,7 +31,10 @@
     """Counts of responses and errors that clients received."""
 
     def record_run(self, organisation: str, now_ms: float) -> None:
-        """Record that a member ran a statement; report it if its key has ended."""
+        """Record that a member ran a statement.
+
+        It is a violation if the key was revoked more than `REVOKE_MS` before.
+        """
         self.runs[organisation].append(now_ms)
         revoked_ms = self.revoked_ms.get(organisation)
         if revoked_ms is not None and now_ms > revoked_ms + REVOKE_MS:
@@ -60,7 +63,7 @@
             Result row, ``member@term.sequence``: the position of the read.
         log : list of str
             Writes in the member's log.
-        needed : set of str
+        required : set of str
             Writes that the read must see.
         """
         sequence = int(row.rpartition(".")[2])
--- a/src/radishtrack_standins/soak/schedule.py
+++ b/src/radishtrack_standins/soak/schedule.py
@@ -12,7 +12,7 @@
 """With the durations below, about two faults are active at any time."""
 MIN_DURATION_S: Final = 0.3
 MAX_DURATION_S: Final = 3.5
-"""Above all timeouts of a node, so that faults end before and after each."""
+"""Above all timeouts of a node, so that faults can end before or after each."""
 REPEAT_PROBABILITY: Final = 0.3
 """Probability that a fault repeats soon after with the same node and target."""
 WEIGHTS: Final = {
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -1,4 +1,4 @@
-"""Guards that a planned stop refuses new work and lets running work finish."""
+"""Tests that a planned stop refuses new work and lets running work finish."""
 
 from __future__ import annotations
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -1,4 +1,4 @@
-"""Guards that a node refuses requests if it may have missed a revocation."""
+"""Tests that a node refuses requests if it may have missed a revocation."""
 
 from __future__ import annotations
 
--- a/tests/test_member_connection.py
+++ b/tests/test_member_connection.py
@@ -1,4 +1,4 @@
-"""Guards that an unresponsive member fails a statement and closes its connection."""
+"""Tests that an unresponsive member fails a statement and closes its connection."""
 
 from __future__ import annotations
 
--- a/tests/test_member_standin.py
+++ b/tests/test_member_standin.py
@@ -91,8 +91,8 @@
             assert (cursor.rowcount, cursor.lastrowid) == (2, 1)
         updated = await execute(connection, "UPDATE orders SET note = 'c' WHERE id = 2")
         assert (updated.rowcount, updated.lastrowid) == (1, 0)
-        found = await fetch_rows(connection, "SELECT id, note FROM orders ORDER BY id")
-        assert found == [(1, 'it\'s \\ "x"\n'), (2, "c")]
+        rows = await fetch_rows(connection, "SELECT id, note FROM orders ORDER BY id")
+        assert rows == [(1, 'it\'s \\ "x"\n'), (2, "c")]
         assert await fetch_rows(connection, "SELECT LAST_INSERT_ID(), DATABASE()") == [
             (1, "booking")
         ]
@@ -204,7 +204,7 @@
     writer.write(b"\x09\0\0\0\3SELECT 2")
     assert b"Access denied" in await asyncio.wait_for(reader.read(), 2)
     writer.close()
-    texts = [seen.text for seen in member.member.observed.statements]
+    texts = [statement.text for statement in member.member.observed.statements]
     assert texts == ["SET AUTOCOMMIT = 1", "SELECT 1"]
 
 
--- a/tests/test_member_standin_faults.py
+++ b/tests/test_member_standin_faults.py
@@ -170,10 +170,10 @@
 ) -> None:
     async with open_connection(member.port, program_name="counter") as connection:
         await query(connection, "/* rtk_secret */ SELECT 'rtk_other'")
-        seen = await get_json(member.control_port, "statements")
+        observed = await get_json(member.control_port, "statements")
         counts = await get_json(member.control_port, "connections")
-    assert any("rtk_secret" in item["text"] for item in seen["statements"])
-    assert seen["attributes"][0]["program_name"] == "counter"
+    assert any("rtk_secret" in item["text"] for item in observed["statements"])
+    assert observed["attributes"][0]["program_name"] == "counter"
     assert (counts["now"], counts["at_most"]) == (1, 1)
 
 
