--- a/src/radishtrack/bench/observe.py
+++ b/src/radishtrack/bench/observe.py
@@ -75,7 +75,11 @@
 
 
 async def find_primary(targets: Targets) -> Login | None:
-    """Return the login of the primary of the highest term among the members."""
+    """Return the login of the primary of the highest term among the members.
+
+    A member that accepts the login but returns no status counts as a primary of
+    term 0, so it is used only if no member reports that role.
+    """
     primaries: list[tuple[int, Login]] = []
     for address in targets.dump:
         login = Login(
