--- a/src/radishtrack_standins/object_store.py
+++ b/src/radishtrack_standins/object_store.py
@@ -29,11 +29,11 @@
     delay_s: float = 0.0
     """Delay before each call takes effect."""
     lose_writes: int = 0
-    """Number of next writes that take effect but lose their response."""
+    """Number of upcoming writes that take effect but lose their response."""
 
 
 @attrs.define(eq=False)
-class StandInStore:
+class StandinStore:
     """Object store with its promotion service; `start` opens the port."""
 
     objects: dict[tuple[str, str], dict[str, Any]] = attrs.field(factory=dict)
