--- a/src/radishtrack_standins/cluster.py
+++ b/src/radishtrack_standins/cluster.py
@@ -138,7 +138,7 @@
 
 @attrs.define
 class Cluster:
-    """A running deployment; made by `start_cluster`."""
+    """The processes, directory and keys of a deployment."""
 
     plan: ClusterPlan
     directory: Path
@@ -195,9 +195,9 @@
     def apply_configuration(
         self, organisations: tuple[tuple[str, float, int], ...], revision: int
     ) -> subprocess.CompletedProcess[str]:
-        """Apply a configuration with these organisations through the command line.
+        """Apply a configuration with these organisations by the command-line tool.
 
-        ``revision`` is the revision that the configuration replaces.
+        `revision` is the revision that the configuration replaces.
         """
         path = self.directory / f"configuration-{revision}.toml"
         path.write_text(make_configuration(self, organisations))
@@ -239,8 +239,8 @@
 
     async def wait_until(self, condition: Any, timeout_s: float = 15.0) -> bool:
         """Poll a condition in a thread; return whether it became true in time."""
-        end = time.monotonic() + timeout_s
-        while time.monotonic() < end:
+        end_s = time.monotonic() + timeout_s
+        while time.monotonic() < end_s:
             if await asyncio.to_thread(condition):
                 return True
             await asyncio.sleep(0.1)
@@ -337,14 +337,14 @@
     RuntimeError
         If a proxy is not ready in time; the message has the end of its log.
     """
-    end = time.monotonic() + START_TIMEOUT_S
+    end_s = time.monotonic() + START_TIMEOUT_S
     for proxy in cluster.proxies:
         while not proxy.is_ready():
             if proxy.process is not None and proxy.process.poll() is not None:
                 # Another process may have bound one of the ports since the choice.
                 replace_ports(proxy)
                 proxy.start()
-            if time.monotonic() > end:
+            if time.monotonic() > end_s:
                 log = proxy.log.read_text()[-3000:]
                 raise RuntimeError(f"{proxy.name} is not ready:\n{log}")
             time.sleep(0.1)
@@ -400,7 +400,7 @@
 
 
 def find_free_ports(count: int) -> list[int]:
-    """Return distinct free ports; other processes can bind them meanwhile."""
+    """Return distinct free ports; another process may bind one before its use."""
     with contextlib.ExitStack() as stack:
         ports = []
         for _ in range(count):
--- a/src/radishtrack_standins/faults/__main__.py
+++ b/src/radishtrack_standins/faults/__main__.py
@@ -1,4 +1,7 @@
-"""Command: ``python -m radishtrack_standins.faults --seed N [--only N] [--json]``."""
+"""Command ``python -m radishtrack_standins.faults``.
+
+Options: ``--seed N``, ``--only GUARANTEE``, ``--scenario NAME`` and ``--json``.
+"""
 
 from __future__ import annotations
 
@@ -38,7 +41,7 @@
         try:
             asyncio.run(_warm_up_and_run(scenario, deployment))
             if 7 not in scenario.guarantees and deployment.rate_refusals:
-                # The other scenarios stay far within the rates, so none is expected.
+                # The other scenarios stay far within the rates: no refusal is expected.
                 count = deployment.rate_refusals.total()
                 report.add_figure(7, f"refused in {scenario.name!r}", count, "requests")
         finally:
@@ -50,9 +53,9 @@
 
 
 def run_all(seed: int, only: int | None, scenario: str | None) -> Report:
-    """Run the scenarios that test guarantee `only` or have the name `scenario`.
+    """Run the scenarios that test guarantee `only` and have the name `scenario`.
 
-    Without either, run all of them.
+    None selects any guarantee or name.
     """
     report = Report()
     for candidate in SCENARIOS:
--- a/src/radishtrack_standins/faults/access.py
+++ b/src/radishtrack_standins/faults/access.py
@@ -183,7 +183,7 @@
     idle = deployment.create_client(1)
     await idle.run("SELECT COUNT(*) FROM orders")
     key_id = deployment.cluster.keys[name].split("_")[1]
-    # Start before the command, so that the measured time is never too short.
+    # Start the clock before the command, so that the measured time is never too short.
     start_s = time.monotonic()
     completed, *times = await asyncio.gather(
         deployment.run_cli("keys", "revoke", name, key_id),
--- a/src/radishtrack_standins/faults/bookings.py
+++ b/src/radishtrack_standins/faults/bookings.py
@@ -125,6 +125,7 @@
         """Post a receipt with a request ID until a repetition is acknowledged.
 
         A first request that was acknowledged is repeated too: it must not run again.
+        There are at most `RECEIPT_ATTEMPTS` attempts.
         """
         self.ledger.attempted_receipts.add(order)
         for number in range(RECEIPT_ATTEMPTS):
--- a/src/radishtrack_standins/faults/client.py
+++ b/src/radishtrack_standins/faults/client.py
@@ -161,7 +161,7 @@
         return StatementResult(outcome, (), code, message)
 
     async def read_token(self) -> str:
-        """Return the session token, or an empty text if it can't be read."""
+        """Return the session token, or an empty string if it can't be read."""
         result = await self.run("SHOW RADISHTRACK SESSION")
         return str(result.rows[0][0]) if result.ran and result.rows else ""
 
--- a/src/radishtrack_standins/faults/deployment.py
+++ b/src/radishtrack_standins/faults/deployment.py
@@ -51,7 +51,7 @@
     admin_relays: dict[str, StandinProcess] = attrs.field(factory=dict)
     platform_relays: list[StandinProcess] = attrs.field(factory=list)
     path_relays: list[StandinProcess] = attrs.field(factory=list)
-    """Relays to the ports of the first primary that can be cut for single processes."""
+    """Relays to the first primary's ports; they can be cut for single processes."""
     rate_refusals: Counter[str] = attrs.field(factory=Counter)
 
     def create_client(
@@ -90,7 +90,7 @@
         return await asyncio.to_thread(call_json, "GET", f"http://{HOST}:{port}{path}")
 
     async def run_cli(self, *arguments: str) -> Any:
-        """Run the command line tool against the platform of this deployment."""
+        """Run the command-line tool against the platform of this deployment."""
         url = self.cluster.platform_url
         return await asyncio.to_thread(
             self.cluster.run_cli, *arguments, "--platform", url
@@ -189,7 +189,7 @@
     Raises
     ------
     RuntimeError
-        If a process does not start, or the ports were taken at each attempt.
+        If a process does not start, or the chosen ports were in use at each attempt.
     """
     for _ in range(START_ATTEMPTS):
         try:
--- a/src/radishtrack_standins/faults/paths.py
+++ b/src/radishtrack_standins/faults/paths.py
@@ -22,7 +22,7 @@
 
 
 def find_socket_inode(port: int) -> str:
-    """Return the inode of the local socket with this port, or an empty text."""
+    """Return the inode of the local socket with this port, or an empty string."""
     for line in Path("/proc/net/tcp").read_text().splitlines()[1:]:
         fields = line.split()
         if int(fields[1].split(":")[1], 16) == port and fields[_INODE_FIELD] != "0":
@@ -31,7 +31,7 @@
 
 
 def has_socket(process_id: int, port: int) -> bool:
-    """Whether a process has the local socket with this port open."""
+    """Return whether a process has the local socket with this port open."""
     link = f"socket:[{find_socket_inode(port)}]"
     try:
         with os.scandir(f"/proc/{process_id}/fd") as entries:
--- a/src/radishtrack_standins/faults/primary.py
+++ b/src/radishtrack_standins/faults/primary.py
@@ -98,7 +98,7 @@
 async def cut_primary(deployment: Deployment) -> None:
     """Cut the primary from proxies and replicas, and restore it after the promotion.
 
-    Its responses arrive late then.
+    Its responses to earlier requests arrive only then.
     """
 
     async def inject_fault(_: Deployment, old_primary: str) -> None:
--- a/src/radishtrack_standins/faults/rates.py
+++ b/src/radishtrack_standins/faults/rates.py
@@ -76,7 +76,7 @@
     outcomes: dict[str, tuple[ClientOutcome, int, str]] = {}
     quiet_refused: list[str] = []
     end_s = time.monotonic() + RUN_S
-    # Refill the burst: creating the tables consumed tokens of the same rate.
+    # Wait for the burst to refill: creating the tables consumed tokens of this rate.
     await asyncio.sleep(BURST_REQUESTS / RATE_PER_S)
 
     async def send(number: int) -> None:
--- a/src/radishtrack_standins/faults/results.py
+++ b/src/radishtrack_standins/faults/results.py
@@ -132,7 +132,7 @@
 
 
 async def lose_commit_responses(deployment: Deployment) -> None:
-    """Lose the responses to commits, before and after they take effect."""
+    """Lose the responses to commits, before and after the commits take effect."""
     await deployment.create_tables()
     report, old_primary = deployment.report, await deployment.read_primary()
     results: dict[str, StatementResult] = {}
--- a/src/radishtrack_standins/faults/transactions.py
+++ b/src/radishtrack_standins/faults/transactions.py
@@ -163,10 +163,10 @@
     await asyncio.sleep(0.1 + 0.2 * deployment.random.random())
     deployment.cluster.proxies[0].signal(signal.SIGSTOP)
     await asyncio.to_thread(deployment.cluster.members[old_primary].kill)
-    promoted_s = await deployment.wait_for_promotion(old_primary)
+    elapsed_s = await deployment.wait_for_promotion(old_primary)
     await asyncio.sleep(0.5)
     deployment.cluster.proxies[0].signal(signal.SIGCONT)
-    report.add_figure(2, "change of primary with a paused proxy", promoted_s, "s", 7.0)
+    report.add_figure(2, "change of primary with a paused proxy", elapsed_s, "s", 7.0)
     results = await asyncio.gather(*tasks)
     await asyncio.sleep(1.0)
     rows = {str(row[0]) for row in await deployment.read_rows("orders")}
