--- a/src/radishtrack_standins/faults/bookings.py
+++ b/src/radishtrack_standins/faults/bookings.py
@@ -27,7 +27,7 @@
     acknowledged: dict[str, float] = attrs.field(factory=dict)
     """Acknowledged bookings and the times of their acknowledgement, in seconds."""
     not_run: dict[str, StatementResult] = attrs.field(factory=dict)
-    """Bookings that were reported as not run or rejected."""
+    """Bookings that were reported as not run, were rejected or had no connection."""
     unknown: set[str] = attrs.field(factory=set)
     receipts: set[str] = attrs.field(factory=set)
     """Orders whose receipt was acknowledged."""
